--- a/scripts/rename.py
+++ b/scripts/rename.py
@@ -114,9 +114,9 @@
     file.write_text(text)
 
 
-def _run_mypy() -> list[str]:
+def _run_mypy(*command: str) -> list[str]:
     done = subprocess.run(
-        [".venv/bin/dmypy", "run", "--", "--show-error-end", "--no-pretty"],
+        [*command, "--show-error-end", "--no-pretty"],
         capture_output=True,
         text=True,
         check=False,
@@ -163,7 +163,7 @@
     )
     found: list[str] = []
     for _ in range(MOST_ROUNDS):
-        found = _run_mypy()
+        found = _run_mypy(".venv/bin/dmypy", "run", "--")
         changed = 0
         # From the end of each line, so that the columns of earlier places stay right.
         attributes = {
@@ -203,27 +203,73 @@
 def _replay(log: Path) -> None:
     """Renames modules, then what is imported, then attributes and parameters."""
     commands = [line.split() for line in log.read_text().splitlines()]
+    modules: dict[str, str] = {}
     classes: dict[str, set[str]] = {}
-    modules = [command[1:] for command in commands if command[0] == "module"]
-    for old, new in modules:
-        _rename_module(old, new)
+    for what, *rest in commands:
+        if what == "module":
+            _rename_module(*rest)
+            modules[rest[0]] = rest[1]
     for what, *rest in commands:
         if what == "global":
             where, old, new = rest
             classes.setdefault(old, set()).add(new)
             module = _dotted(Path(where))
-            for _ in modules:
-                module = dict(map(tuple, modules)).get(module, module)
+            while module in modules:
+                module = modules[module]
             _rename_imported(module, old, new)
+    wanted: dict[tuple[str, str], str] = {}
     for what, *rest in commands:
         if what in ("member", "param"):
             where, old, new = rest
-            owners = {place.split(":")[1] for place in where.split(",")}
-            owners |= {part for owner in owners for part in owner.split(".")} - {"__init__"}
+            owners = {part for place in where.split(",") for part in place.split(":")[1].split(".")}
             for _ in range(3):
                 owners |= {after for owner in owners for after in classes.get(owner, ())}
-            print(what, where, old, new)
-            _follow_mypy(old, new, tuple(sorted(owners)))
+            wanted |= {(owner, old): new for owner in owners}
+    _replace_found(wanted)
+
+
+def _replace_found(wanted: dict[tuple[str, str], str]) -> None:
+    """Renames what mypy finds missing, until it finds no more.
+
+    Args:
+      wanted: New names by class or function and old name.
+    """
+    place = r"(?P<file>[^:]+):(?P<line>\d+):\d+:(?P<end_line>\d+):(?P<end>\d+): error: "
+    missing = re.compile(rf'{place}(?P<owners>.*) has no attribute "(?P<old>\w+)"')
+    unexpected = re.compile(
+        rf'{place}Unexpected keyword argument "(?P<old>\w+)" for (?P<owners>.*)'
+    )
+    found: list[str] = []
+    for _ in range(MOST_ROUNDS):
+        found = _run_mypy(".venv/bin/mypy")
+        edits = []
+        for kind in (missing, unexpected):
+            for m in filter(None, map(kind.match, found)):
+                names = re.findall(r"\w+", m["owners"])
+                new = next(
+                    (wanted[one, m["old"]] for one in names if (one, m["old"]) in wanted), ""
+                )
+                if new:
+                    edits.append((m, kind is missing, new))
+        changed = 0
+        # From the end of each line, so that the columns of earlier places stay right.
+        edits.sort(
+            key=lambda edit: (edit[0]["file"], -int(edit[0]["end_line"]), -int(edit[0]["end"]))
+        )
+        done: set[tuple[str, str, str]] = set()
+        for m, is_attribute, new in edits:
+            path, row, end = Path(m["file"]), int(m["end_line"]), int(m["end"])
+            if (m["file"], m["end_line"], m["end"]) in done:
+                continue
+            if is_attribute:
+                done.add((m["file"], m["end_line"], m["end"]))
+                changed += _replace_at(path, row, end, m["old"], new)
+            else:
+                changed += _replace_keyword(path, int(m["line"]), row, m["old"], new)
+        if not changed:
+            break
+    errors = [line for line in found if ": error:" in line]
+    print("\n".join(errors) or "mypy: no errors")
 
 
 def _rename_imported(module: str, old: str, new: str) -> None:
