--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -31,9 +31,9 @@
 from quincespool.gateway.store.beliefs import StoreHealth
 from quincespool.gateway.store.hedged_calls import HedgedCalls
 from quincespool.gateway.ticker import Ticker
-from quincespool.gateway.turns.program_parts import ProgramParts
-from quincespool.gateway.turns.renewal import Renewals
-from quincespool.gateway.turns.trimming import Trimming
+from quincespool.gateway.turns.program_components import ProgramComponents
+from quincespool.gateway.turns.renewal import ProgramRenewer
+from quincespool.gateway.turns.trimming import LogTrimmer
 from quincespool.gateway.upkeep import Upkeep
 from quincespool.net.addresses import split_address
 from quincespool.net.http_connection import default_limits
@@ -150,7 +150,7 @@
 
     def _make_program_parts(self) -> None:
         settings = self._settings
-        self._parts = ProgramParts(
+        self._parts = ProgramComponents(
             settings,
             incarnation=self._incarnation,
             store=self._store,
@@ -159,11 +159,11 @@
             services=self._services,
             members=self._members,
             routes=self._routes,
-            beliefs=self._beliefs,
+            cluster_view=self._beliefs,
             on_partition=self._note_partition,
             on_refused=self._note_refused,
             has_time_until=self._leaves_time_until,
-            tell_claims=self._tell_claims,
+            announce_claims=self._tell_claims,
         )
         self._ownership = self._parts.ownership
         self._links = self._parts.links
@@ -255,10 +255,10 @@
             ownership=self._ownership,
             turns=self._parts.turns,
             quiet_backends=QuietBackends(self._services),
-            renewals=Renewals(
+            renewals=ProgramRenewer(
                 store_retention_ms=int(1_000 * settings.store_retention_s), metrics=self._metrics
             ),
-            trimming=Trimming(
+            trimming=LogTrimmer(
                 partition_count=self._parts.partition_count,
                 store_full=lambda: self._store_health.full,
                 metrics=self._metrics,
@@ -362,7 +362,7 @@
     def _note_partition(self, owned: OwnedPartition, detail: str) -> None:
         self._log.write("partition", **owned.dump(), lost=owned.lost, detail=detail)
         if owned.lost:
-            self._ownership.forget(owned)
+            self._ownership.on_partition_lost(owned)
         elif owned.ready:
             self._presence.announce()
 
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -221,14 +221,14 @@
         if isolated and len(self._ownership.owned) == self._partition_count:
             # Nobody else is there to own anything.
             isolated = False
-        if isolated == self._ownership.is_aside or self.draining:
+        if isolated == self._ownership.is_paused or self.draining:
             return
         self._log.write_always("isolated" if isolated else "no longer isolated")
         if isolated:
-            work = self._ownership.step_aside("isolated")
+            work = self._ownership.pause("isolated")
             self._stepping_aside = asyncio.get_running_loop().create_task(work)
         else:
-            self._ownership.step_back()
+            self._ownership.resume()
 
     def _take_datagram(self, sender: str, message: Any) -> None:
         if isinstance(message, CrashNotice):
@@ -253,7 +253,7 @@
         for claim in message.claims:
             self._ownership.yield_to(Partition(claim.topic, claim.number), claim.epoch)
         if message.generation > self._ownership.generation:
-            self._ownership.renew_soon()
+            self._ownership.request_renewal()
 
     def _answer(self, sender: str) -> None:
         """Shows the one who asks that this daemon lives, and nobody else.
--- a/src/quincespool/gateway/planned_stop.py
+++ b/src/quincespool/gateway/planned_stop.py
@@ -102,7 +102,7 @@
         # A partition was taken over from a daemon that stops too, and nobody has it now: turns that
         # are under way there can be kept only here.
         lately_ms = now_ms() - int(1_000 * self._live.current.stop_grace_s)
-        return not (self._ownership.writes_since(lately_ms) and self._others_stop())
+        return not (self._ownership.has_retired_takeover_since(lately_ms) and self._others_stop())
 
     def _others_stop(self) -> bool:
         at_ms = now_ms()
--- a/src/quincespool/gateway/turns/ledger.py
+++ b/src/quincespool/gateway/turns/ledger.py
@@ -1,7 +1,7 @@
 """Histories and budgets of programs: a reducer over the records of one partition.
 
-The same reducer runs at the owner while it serves and at a new owner that reads the partition, so
-both arrive at the same state from the same records.
+The same reducer runs at the owner while it serves turns and at a new owner that reads the
+partition, so both derive the same state from the same records.
 """
 
 from __future__ import annotations
@@ -17,27 +17,40 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Records of the store take 256 KiB; the rest is room for ids.
+# The store limits a record to 256 KiB; the difference leaves room for the ids.
 MAX_PART_BYTES = 200_000
 
 
 class TurnStarted(msgspec.Struct, tag="s", array_like=True, frozen=True):
-    """Written before the first token of a turn is handed out: reserves the most it can generate."""
+    """Start of a turn: reserves the maximum number of tokens that it can generate.
+
+    Written before the caller gets the first token, except for turns that `UnrecordedTokens` covers.
+
+    Attributes:
+      max_tokens: Tokens to reserve.
+      at_ms: Wall clock.
+      retention_ms: Retention of the turn after its end, as for `TurnEnded`; 0 stands for that of
+        the program so far. If the turn breaks off, the program may come back for as long, with its
+        budget.
+    """
 
     turn_id: str
     program_id: str
-    most_tokens: int
+    max_tokens: int
     at_ms: int
-    # Of the turn once it has ended; a program may come back for so long, with its budget.
     retention_ms: int = 0
 
 
 class TurnEnded(msgspec.Struct, tag="e", array_like=True, frozen=True):
-    """Written before a caller sees the end of a whole turn: from here on it can be continued.
+    """Complete turn, which can be continued from now on; written before the caller sees its end.
 
     Attributes:
-      input: What the turn added to its history.
-      output: The data of each event, each with a line feed after it.
+      previous_id: Turn that this one continues, empty if none.
+      input: What the request added to the history.
+      output: Data of each event, each followed by a line feed.
+      tokens: Tokens that the turn generated.
+      retention_ms: For how long after `at_ms` the turn can be continued.
+      at_ms: Wall clock.
     """
 
     turn_id: str
@@ -51,7 +64,7 @@
 
 
 class TurnBroken(msgspec.Struct, tag="b", array_like=True, frozen=True):
-    """A turn that did not end whole: spends what was handed out, releases the rest."""
+    """Incomplete turn: spends the tokens that the caller got and releases the others."""
 
     turn_id: str
     program_id: str
@@ -60,7 +73,7 @@
 
 
 class HistoryPart(msgspec.Struct, tag="h", array_like=True, frozen=True):
-    """A piece of history: of a turn of another program, or of a turn too long for one record."""
+    """Piece of a history: of a turn of another program, or of a turn too long for one record."""
 
     turn_id: str
     program_id: str
@@ -71,13 +84,19 @@
 
 
 class ProgramRenewed(msgspec.Struct, tag="p", array_like=True, frozen=True):
-    """What a program has come to, after its turns as history: older records need not last.
+    """Snapshot of a program, preceded by its turns as `HistoryPart` records.
 
-    It tells the state and no change, so reading it after the records that it replaces, or in their
-    place, comes to the same.
+    Replaces all older records of the program. It holds a state and not a change, so reading it
+    after the records that it replaces, or instead of them, has the same result.
 
     Attributes:
-      part_count: Records of the program just before this one that belong to it.
+      spent_tokens: See `Program`.
+      reserved: See `Program`.
+      retention_ms: See `Program`.
+      kept_until_ms: See `Program`.
+      part_count: Number of records of the program directly before this one that belong to the
+        snapshot.
+      at_ms: Wall clock.
     """
 
     program_id: str
@@ -93,27 +112,29 @@
 
 
 class Admission(StrEnum):
-    """Whether a turn may start."""
+    """Whether a turn may start, and why not."""
 
-    FINE = "fine"
+    ADMITTED = "fine"
     OVER_BUDGET = "over_budget"
     NO_SUCH_TURN = "no_such_turn"
 
 
-class _Kept(NamedTuple):
+class _StoredTurn(NamedTuple):
     previous_id: str
     text: bytes
 
 
 class Program:
-    """One program's state.
+    """State of one program.
 
     Attributes:
-      spent_tokens: Handed out by turns that are over.
-      reserved: The most that each open turn can still hand out, by turn id.
-      kept_until_ms: When the last of its turns can no longer be continued, and the program, if its
-        last turn broke off, no longer comes back.
-      oldest_ms: When the oldest record was written that a later owner needs.
+      oldest_ms: Wall clock at which the oldest record was written that a later owner needs.
+      spent_tokens: Tokens generated by turns that have ended.
+      reserved: Maximum number of tokens of each open turn, by turn id.
+      turns: Complete turns and pieces of histories, by turn id.
+      kept_until_ms: Wall clock until which the last of its turns can be continued or, if its last
+        turn broke off, the program may come back.
+      retention_ms: For how long after its end a turn can be continued.
     """
 
     __slots__ = (
@@ -129,43 +150,43 @@
         self.oldest_ms = oldest_ms
         self.spent_tokens = 0
         self.reserved: dict[str, int] = {}
-        self.turns: dict[str, _Kept] = {}
+        self.turns: dict[str, _StoredTurn] = {}
         self.kept_until_ms = 0
         self.retention_ms = 0
 
     def chain(self, turn_id: str) -> list[bytes] | None:
-        """Returns the texts up to a turn, newest first; None if one of them is not here."""
+        """Returns the texts up to a turn, newest first; None if one of them is missing."""
         texts: list[bytes] = []
         while turn_id:
             kept = self.turns.get(turn_id)
-            # The store drops the oldest records first, so a later owner may have read a turn and
-            # not the one before it. A caller that uses an id twice can make a chain endless.
+            # The store drops the oldest records first, so a later owner may have read a turn but
+            # not the one before it. A caller that uses an id twice can make the chain a cycle.
             if kept is None or len(texts) == len(self.turns):
                 return None
             texts.append(kept.text)
             turn_id = kept.previous_id
         return texts
 
-    def keep_from(self, at_ms: int, retention_ms: int) -> None:
-        """Keeps the program for as long after a record of it."""
+    def extend_retention(self, at_ms: int, retention_ms: int) -> None:
+        """Retains the program for at least `retention_ms` after a record of it."""
         self.retention_ms = retention_ms
         self.kept_until_ms = max(self.kept_until_ms, at_ms + retention_ms)
 
-    def has_whole(self, turn_id: str) -> bool:
-        """Whether a turn and all before it are here."""
+    def has_complete_history(self, turn_id: str) -> bool:
+        """Whether a turn and all turns before it are present."""
         return self.chain(turn_id) is not None
 
 
 class Ledger:
-    """The programs of one partition, folded from its records."""
+    """The programs of one partition, derived from its records."""
 
     def __init__(self) -> None:
         self.programs: dict[str, Program] = {}
-        # Of all accounts: ids are the callers', and two of them may choose the same.
-        self._programs_of: dict[str, tuple[str, ...]] = {}
+        # Over all accounts: callers choose the ids of turns, and two may choose the same.
+        self._program_ids_by_turn: dict[str, tuple[str, ...]] = {}
 
     def apply(self, record: Record) -> None:
-        """Folds one record in. A record that was applied already changes nothing."""
+        """Applies a record. Applying the same record again changes nothing."""
         program = self.programs.get(record.program_id)
         if program is None:
             program = self.programs[record.program_id] = Program(record.at_ms)
@@ -177,55 +198,57 @@
             program.oldest_ms = record.at_ms
             return
         if isinstance(record, TurnStarted):
-            program.reserved[record.turn_id] = record.most_tokens
-            program.keep_from(record.at_ms, record.retention_ms or program.retention_ms)
+            program.reserved[record.turn_id] = record.max_tokens
+            program.extend_retention(record.at_ms, record.retention_ms or program.retention_ms)
             return
         if isinstance(record, HistoryPart):
-            self._keep(program, record, record.text)
+            self._store_turn(program, record, record.text)
             return
         if record.turn_id in program.reserved:
-            # A turn is settled once; a second settlement, sent again after a lost answer, must not
-            # spend twice.
+            # The end of a turn counts once: it may be recorded again after an answer was lost, and
+            # must not spend the tokens twice.
             del program.reserved[record.turn_id]
             program.spent_tokens += record.tokens
         if isinstance(record, TurnEnded):
-            self._keep(program, record, record.input + record.output)
+            self._store_turn(program, record, record.input + record.output)
         else:
-            program.keep_from(record.at_ms, program.retention_ms)
+            program.extend_retention(record.at_ms, program.retention_ms)
 
     def find(self, turn_id: str, account: str) -> str:
-        """Returns the id of an account's program with a turn and all before it, empty if none."""
-        for program_id in self._programs_of.get(turn_id, ()):
-            if account_of(program_id) == account and self.programs[program_id].has_whole(turn_id):
+        """Returns the id of an account's program with a turn's whole history, empty if none."""
+        for program_id in self._program_ids_by_turn.get(turn_id, ()):
+            if account_of(program_id) == account and self.programs[program_id].has_complete_history(
+                turn_id
+            ):
                 return program_id
         return ""
 
     def is_foreign(self, turn_id: str, account: str) -> bool:
-        """Whether only other accounts have such a turn."""
-        programs = self._programs_of.get(turn_id, ())
+        """Whether the turn exists, but only in programs of other accounts."""
+        programs = self._program_ids_by_turn.get(turn_id, ())
         return bool(programs) and all(account_of(one) != account for one in programs)
 
     def admit(
-        self, *, program_id: str, previous_id: str, budget_tokens: int | None, most_tokens: int
+        self, *, program_id: str, previous_id: str, budget_tokens: int | None, max_tokens: int
     ) -> Admission:
-        """Says whether a turn may start, every open turn counted at its most."""
+        """Returns whether a turn may start; open turns count with all tokens that they reserve."""
         program = self.programs.get(program_id)
-        if previous_id and (program is None or not program.has_whole(previous_id)):
+        if previous_id and (program is None or not program.has_complete_history(previous_id)):
             return Admission.NO_SUCH_TURN
-        return _within(program, budget_tokens, most_tokens)
+        return _check_budget(program, budget_tokens, max_tokens)
 
-    def admit_again(self, start: TurnStarted, *, budget_tokens: int | None) -> Admission:
-        """Says whether a turn that another owner has admitted may still start."""
+    def readmit(self, start: TurnStarted, *, budget_tokens: int | None) -> Admission:
+        """Returns whether a turn that another owner has admitted may still start."""
         program = self.programs.get(start.program_id)
         if program is not None and start.turn_id in program.reserved:
-            # The other owner's record came through.
-            return Admission.FINE
-        return _within(program, budget_tokens, start.most_tokens)
+            # The other owner's record was appended after all.
+            return Admission.ADMITTED
+        return _check_budget(program, budget_tokens, start.max_tokens)
 
     def history(self, program_id: str, previous_id: str) -> bytes | None:
-        """Returns what a turn that continues `previous_id` is to read first, oldest turn first.
+        """Returns the history for a turn that continues `previous_id`, oldest turn first.
 
-        None if a part of it is not here: a history that lacks one must not reach an engine.
+        None if a part of it is missing: an incomplete history must not reach an engine.
         """
         program = self.programs.get(program_id)
         if program is None:
@@ -234,17 +257,18 @@
         return None if texts is None else b"".join(reversed(texts))
 
     def retention_ms(self, program_id: str) -> int:
-        """Returns how long the turns of a program are kept after each one's end."""
+        """Returns for how long after its end a turn of a program can be continued, 0 if unknown."""
         program = self.programs.get(program_id)
         return program.retention_ms if program is not None else 0
 
-    def renewed(self, program_id: str, at_ms: int) -> list[Record]:
-        """Returns records that make all earlier ones of a program needless, in their order.
+    def renewal_records(self, program_id: str, at_ms: int) -> list[Record]:
+        """Returns records, in order, that replace all earlier ones of a program.
 
-        The one that says so is the last: an owner may be lost between any two of them.
+        Only the last one declares the earlier records replaced: the owner may crash between any two
+        of them.
         """
         program = self.programs[program_id]
-        # None of them may keep the program longer than it is kept.
+        # None of them may extend the retention of the program.
         left_ms = program.kept_until_ms - at_ms
         records: list[Record] = [
             HistoryPart(turn_id, program_id, kept.previous_id, kept.text, left_ms, at_ms)
@@ -268,51 +292,55 @@
         now_ms: int,
         *,
         grace_ms: int,
-        known_ms: Callable[[str, int], int] | None = None,
+        observed_ms: Callable[[str, int], int] | None = None,
     ) -> int:
-        """Forgets programs whose turns can no longer be continued; returns how many.
+        """Removes programs whose turns can no longer be continued; returns how many.
 
         Args:
           now_ms: Wall clock.
-          known_ms: Tells for how long a program's end is known here, by the steady clock. The time
-            of day may be set forward, and was another host's when the record was written.
-          grace_ms: Longer than clocks of daemons differ and any turn takes; an open turn of a
-            daemon that has died holds its program for no longer than this.
+          grace_ms: Added to the retention. Longer than the clocks of daemons differ and than any
+            turn takes; an open turn of a crashed daemon keeps its program for no longer than this.
+          observed_ms: Returns for how long, by the steady clock, this daemon has known the present
+            `kept_until_ms` of a program. The wall clock alone is not enough: it may be set forward,
+            and the record may carry the wall clock of another host.
         """
         over = [
             program_id
             for program_id, program in self.programs.items()
             if (
-                known_ms is None
-                or known_ms(program_id, program.kept_until_ms) >= program.retention_ms + grace_ms
+                observed_ms is None
+                or observed_ms(program_id, program.kept_until_ms) >= program.retention_ms + grace_ms
             )
             and program.kept_until_ms + grace_ms < now_ms
         ]
         for program_id in over:
             for turn_id in self.programs.pop(program_id).turns:
-                self._forget_turn(program_id, turn_id)
+                self._remove_turn(program_id, turn_id)
         return len(over)
 
-    def _forget_turn(self, program_id: str, turn_id: str) -> None:
-        programs = self._programs_of.pop(turn_id, ())
+    def _remove_turn(self, program_id: str, turn_id: str) -> None:
+        programs = self._program_ids_by_turn.pop(turn_id, ())
         left = tuple(one for one in programs if one != program_id)
         if left:
-            self._programs_of[turn_id] = left
+            self._program_ids_by_turn[turn_id] = left
 
-    def _keep(self, program: Program, record: TurnEnded | HistoryPart, text: bytes) -> None:
-        program.turns[record.turn_id] = _Kept(record.previous_id, text)
-        # Others than the one that made it have its history whole when its own has lost a part.
-        programs = self._programs_of.get(record.turn_id, ())
+    def _store_turn(self, program: Program, record: TurnEnded | HistoryPart, text: bytes) -> None:
+        program.turns[record.turn_id] = _StoredTurn(record.previous_id, text)
+        # A program that imported the turn may have its complete history after the turn's own
+        # program has lost a part of it.
+        programs = self._program_ids_by_turn.get(record.turn_id, ())
         if record.program_id not in programs:
-            self._programs_of[record.turn_id] = (*programs, record.program_id)
-        program.keep_from(record.at_ms, record.retention_ms)
+            self._program_ids_by_turn[record.turn_id] = (*programs, record.program_id)
+        program.extend_retention(record.at_ms, record.retention_ms)
 
 
-def _within(program: Program | None, budget_tokens: int | None, most_tokens: int) -> Admission:
+def _check_budget(
+    program: Program | None, budget_tokens: int | None, most_tokens: int
+) -> Admission:
     if budget_tokens is None:
-        return Admission.FINE
+        return Admission.ADMITTED
     used = 0 if program is None else program.spent_tokens + sum(program.reserved.values())
-    return Admission.FINE if used + most_tokens <= budget_tokens else Admission.OVER_BUDGET
+    return Admission.ADMITTED if used + most_tokens <= budget_tokens else Admission.OVER_BUDGET
 
 
 def split_history(
@@ -324,7 +352,7 @@
     retention_ms: int,
     at_ms: int,
 ) -> list[HistoryPart]:
-    """Returns a text as pieces that each fit into a record; the last one bears the turn's id."""
+    """Splits a text into pieces that each fit into a record; the last one has the turn's id."""
     pieces = [text[at : at + MAX_PART_BYTES] for at in range(0, len(text), MAX_PART_BYTES)] or [b""]
     parts = []
     for number, piece in enumerate(pieces, start=1):
@@ -339,14 +367,14 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Returns the bytes of a record."""
+    """Returns a record in its stored encoding."""
     return _ENCODER.encode(record)
 
 
 def decode_record(data: bytes) -> Record:
-    """Returns the record in some bytes.
+    """Returns the record that is encoded in `data`.
 
     Raises:
-      msgspec.DecodeError: if they hold none.
+      msgspec.DecodeError: if `data` is not a known record.
     """
     return _DECODER.decode(data)
--- a/src/quincespool/gateway/turns/ownership.py
+++ b/src/quincespool/gateway/turns/ownership.py
@@ -1,4 +1,4 @@
-"""Which partitions this daemon owns, as the store's group of owners assigns them."""
+"""Partitions that this daemon owns, as the store assigns them to the group of owners."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
     from quincespool.gateway.store.interface import Assignment
     from quincespool.gateway.store.interface import Store
 
-# Three renewals a lease, so that one lost answer does not cost the partitions.
+# Three renewals per lease, so that one lost answer does not end it.
 RENEWALS_PER_LEASE = 3
-# The generation of an assignment makes the epoch; a daemon that takes the same assignment up again
-# counts on within it.
+# The epoch of a partition consists of the generation of the assignment and a counter below this
+# number, which tells several takeovers under one generation apart.
 EPOCHS_PER_GENERATION = 1_000
-# Pause between attempts to renew a lease that has run out.
+# Interval of renewals after the lease has expired.
 UNCONFIRMED_RETRY_S = 0.1
-# How often a daemon that stepped aside looks whether anybody else is there.
-ASIDE_CHECK_S = 0.5
-# All others have heard of a partition that was taken over longer ago.
-CLAIM_KNOWN_MS = 1_000
-# After the assignment has changed, the next renewal lets the new owner have what it is to get.
-HAND_OVER_S = 0.01
+# Interval at which a paused daemon checks whether the group has any other owner.
+PAUSED_CHECK_S = 0.5
+# After this time all other daemons have received the claim of a partition.
+CLAIM_PROPAGATION_MS = 1_000
+# Delay of the next renewal after the assignment has changed: that renewal lets the store assign the
+# partitions which this daemon has given up to their new owners.
+HANDOVER_RENEWAL_S = 0.01
 
 
 def partition_of(program_id: str, partitions: list[Partition]) -> Partition:
@@ -47,13 +48,14 @@
 
 
 class Ownership:
-    """Keeps this daemon in the group of owners and follows its assignment.
+    """Keeps this daemon in the group of owners and applies the assignment of partitions.
 
     Attributes:
-      owned: Partitions assigned to this daemon, some of them not read yet.
-      generation: Of the assignment.
-      confirmed_until_ms: Steady clock until which the store gives the partitions to nobody else by
-        itself. It may still take them away at any time; who must be certain asks `confirm`.
+      owned: Partitions assigned to this daemon, including those whose records are not read yet.
+      generation: Generation of the assignment.
+      confirmed_until_ms: Steady clock at which the lease expires; until then the store does not
+        reassign the partitions by itself. They may still be taken over at any time: a caller that
+        must be certain uses `OwnedPartition.confirm`.
     """
 
     def __init__(
@@ -68,10 +70,10 @@
         store_reachable: Callable[[], bool],
         on_change: Callable[[OwnedPartition, str], None],
         on_assignment: Callable[[int, int], None],
-        tell_claims: Callable[[], None],
+        announce_claims: Callable[[], None],
     ) -> None:
         self.owned: dict[Partition, OwnedPartition] = {}
-        # Given up, and still written for turns under way, by partition the newest last.
+        # Given up, but still written for turns in progress; of each partition the newest last.
         self._retired: list[OwnedPartition] = []
         self.generation = 0
         self.confirmed_until_ms = 0
@@ -84,24 +86,24 @@
         self._store_reachable = store_reachable
         self._on_change = on_change
         self._on_assignment = on_assignment
-        self._tell_claims = tell_claims
-        self._poke = asyncio.Event()
-        self._wanted = True
-        self._aside = False
-        self._takes = 0
-        self._dealt: SettlingShare[Partition] = SettlingShare(now_ms())
-        self._taking: asyncio.TimerHandle | None = None
+        self._announce_claims = announce_claims
+        self._renewal_wanted = asyncio.Event()
+        self._is_joining = True
+        self._paused = False
+        self._takeover_count = 0
+        self._assigned: SettlingShare[Partition] = SettlingShare(now_ms())
+        self._takeover_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the lease, as far as known here, has not run out."""
+        """Whether the lease, as far as this daemon knows, has not expired."""
         return now_ms() < self.confirmed_until_ms
 
     def serving(self, partition: Partition) -> OwnedPartition | None:
-        """Returns a partition that this daemon may serve now.
+        """Returns a partition if this daemon may serve its turns now, otherwise None.
 
-        Without a lease it goes on while the store is away and no other daemon is known to own the
-        partition: its turns end only if their records are kept after all, by whoever owns it then.
+        Without a lease the partition is still served while the store is unreachable: its turns end
+        only once their records are durable, written by whichever daemon owns the partition then.
         """
         owned = self.owned.get(partition)
         if owned is None or not owned.ready:
@@ -109,128 +111,137 @@
         return owned if self.is_confirmed or not self._store_reachable() else None
 
     def yield_to(self, partition: Partition, epoch: int) -> None:
-        """Gives a partition up that another daemon has taken over under a higher epoch."""
+        """Marks a partition as lost that another daemon has taken over under a higher epoch."""
         writers = [one for one in self._retired if one.partition == partition]
         if partition in self.owned:
             writers.append(self.owned[partition])
         for writer in writers:
             if epoch > writer.epoch:
-                writer.lose("taken over")
+                writer.mark_lost("taken over")
 
     def writer(self, partition: Partition) -> OwnedPartition | None:
-        """Returns who writes a partition here, perhaps only for turns under way."""
+        """Returns the present writer of a partition, perhaps retired; None if there is none."""
         retired = [one for one in self._retired if one.partition == partition]
         return self.owned.get(partition) or (retired[-1] if retired else None)
 
     @property
     def is_writing(self) -> bool:
-        """Whether records wait to be appended, and the store takes them."""
+        """Whether records wait to be appended and appends are not stalled."""
         writers = [*self._retired, *self.owned.values()]
         return any(not one.idle and not one.stalled for one in writers)
 
-    def writes_since(self, since_ms: int) -> bool:
-        """Whether a partition that was given up has no new owner, and had another one that lately.
+    def has_retired_takeover_since(self, since_ms: int) -> bool:
+        """Whether a retired partition without a new owner had another owner until lately.
 
-        Turns of the owner before this one may still be under way, and end here.
+        Turns of the previous owner may still be in progress and need this daemon to write their
+        records.
+
+        Args:
+          since_ms: Steady clock after which the takeover counts as recent.
         """
-        return any(one.inherits and one.since_ms > since_ms for one in self._retired)
+        return any(one.had_records and one.since_ms > since_ms for one in self._retired)
 
-    def end_retired(self) -> None:
-        """Lets go of partitions that were given up and that no turn needs any more."""
-        if not self._wanted:
-            # For the turns of others this one may be the last who can write.
+    def close_unused(self) -> None:
+        """Stops writing retired partitions that no turn needs any more."""
+        if not self._is_joining:
+            # This daemon is leaving and may be the last one that can write records of turns which
+            # other daemons run.
             return
         for one in list(self._retired):
             if not one.in_use:
-                one.lose("turns ended")
+                one.mark_lost("turns ended")
 
-    def renew_soon(self) -> None:
-        """Renews now rather than at the next interval: somebody has seen a newer generation."""
-        self._poke.set()
+    def request_renewal(self) -> None:
+        """Renews the lease at once, since another daemon has reported a newer generation."""
+        self._renewal_wanted.set()
 
     async def run(self) -> None:
-        """Stays in the group until `leave`."""
-        while self._wanted:
-            changed = False if self._aside else await self._renew()
-            wait_s = HAND_OVER_S if changed else self._renewal_s
-            if not self.is_confirmed and not self._aside:
-                # Everything waits for the lease; the store's return must be seen at once.
+        """Renews the lease periodically until `leave` is called."""
+        while self._is_joining:
+            changed = False if self._paused else await self._renew()
+            wait_s = HANDOVER_RENEWAL_S if changed else self._renewal_s
+            if not self.is_confirmed and not self._paused:
+                # Turns wait for the lease, so the store's recovery must be noticed quickly.
                 wait_s = UNCONFIRMED_RETRY_S
             try:
                 async with asyncio.timeout(wait_s):
-                    await self._poke.wait()
+                    await self._renewal_wanted.wait()
             except TimeoutError:
                 pass
-            self._poke.clear()
+            self._renewal_wanted.clear()
 
     async def leave(self) -> None:
-        """Gives all partitions up, what waits to be written first."""
-        self._wanted = False
-        self._forget_dealt()
-        self._poke.set()
+        """Writes waiting records, gives up all partitions and leaves the group."""
+        self._is_joining = False
+        self._discard_assigned()
+        self._renewal_wanted.set()
         for owned in self.owned.values():
             owned.flush()
         for _ in range(20):
             if all(one.stalled or (one.ready and one.idle) for one in self.owned.values()):
                 break
             await asyncio.sleep(0.01)
-        self._give_up(list(self.owned), "leaving")
+        self._retire(list(self.owned), "leaving")
         await self._release(self._member_id)
 
     async def release(self, member_id: str, incarnation: int) -> None:
-        """Ends the lease of a process that is gone, so that others need not wait for it.
+        """Ends the lease of a process that has stopped, so that its partitions are reassigned now.
 
-        Should it live all the same, it joins again; what it writes meanwhile is fenced.
+        If the process is still running, it joins the group again; its writes in between are fenced.
         """
         await self._release(_owner_id(member_id, incarnation))
 
-    async def step_aside(self, reason: str) -> None:
-        """Lets others have the partitions while this daemon cannot be reached by them.
+    async def pause(self, reason: str) -> None:
+        """Leaves the partitions to other daemons while these can't reach this one.
+
+        Resumes by itself when the group has no owner at all: the others have stopped, and are not
+        just unreachable from here.
 
-        Comes back by itself when nobody else has them: the others are gone, not cut off.
+        Args:
+          reason: Reason for the log line of each partition that is given up.
         """
-        self._aside = True
-        self._forget_dealt()
-        self._give_up(list(self.owned), reason)
+        self._paused = True
+        self._discard_assigned()
+        self._retire(list(self.owned), reason)
         await self._release(self._member_id)
-        while self._aside and self._wanted:
-            await asyncio.sleep(ASIDE_CHECK_S)
+        while self._paused and self._is_joining:
+            await asyncio.sleep(PAUSED_CHECK_S)
             try:
                 if not await self._store.owners():
-                    self.step_back()
+                    self.resume()
             except StoreError:
                 continue
 
-    def step_back(self) -> None:
-        """Takes part again."""
-        self._aside = False
-        self._poke.set()
+    def resume(self) -> None:
+        """Joins the group of owners again."""
+        self._paused = False
+        self._renewal_wanted.set()
 
     async def _release(self, owner_id: str) -> None:
         try:
             await self._hedged.first(lambda: self._store.leave(owner_id))
         except StoreError:
-            # The lease runs out by itself.
+            # The lease expires by itself.
             return
 
     @property
-    def is_aside(self) -> bool:
-        """Whether it has stepped aside."""
-        return self._aside
+    def is_paused(self) -> bool:
+        """Whether this daemon leaves the partitions to others; see `pause`."""
+        return self._paused
 
     async def _renew(self) -> bool:
         """Renews the lease; returns whether the assignment has changed."""
-        # Counted from before the request: the store counts from when it arrives.
-        asked_ms = now_ms()
+        # Measured before the request is sent: the store's lease starts when the request arrives.
+        requested_ms = now_ms()
         try:
             assignment = await self._hedged.first(self._join)
         except StoreError:
-            # Partitions are kept: whether the lease has run out only the store knows, and a write
-            # under an old epoch is refused by it.
+            # Partitions are not given up: only the store knows whether the lease has expired, and
+            # it rejects writes under an old epoch.
             return False
-        if not self._wanted or self._aside:
+        if not self._is_joining or self._paused:
             return False
-        self.confirmed_until_ms = asked_ms + self._lease_ms
+        self.confirmed_until_ms = requested_ms + self._lease_ms
         return self._follow(assignment)
 
     def _join(self) -> Coroutine[Any, Any, Assignment]:
@@ -240,36 +251,38 @@
         changed = assignment.generation != self.generation
         self.generation = assignment.generation
         lost = [one for one in self.owned if one not in assignment.partitions]
-        self._give_up(lost, "reassigned")
-        held = {one for one, owned in self.owned.items() if not owned.lost}
-        self._dealt.deal(assignment.partitions - held, now_ms(), changed=changed)
-        self._take_when_stable()
+        self._retire(lost, "reassigned")
+        still_owned = {one for one, owned in self.owned.items() if not owned.lost}
+        self._assigned.deal(assignment.partitions - still_owned, now_ms(), changed=changed)
+        self._schedule_takeover()
         if changed:
             self._on_assignment(assignment.generation, len(assignment.partitions))
         return changed
 
-    def _take_when_stable(self) -> None:
-        if self._taking is not None:
-            self._taking.cancel()
-            self._taking = None
-        wait_ms = self._dealt.wait_ms(now_ms())
+    def _schedule_takeover(self) -> None:
+        if self._takeover_timer is not None:
+            self._takeover_timer.cancel()
+            self._takeover_timer = None
+        wait_ms = self._assigned.wait_ms(now_ms())
         if wait_ms == 0:
-            self._take_dealt()
+            self._take_over_assigned()
         elif wait_ms is not None:
             loop = asyncio.get_running_loop()
-            self._taking = loop.call_later(wait_ms / 1000, self._take_dealt)
+            self._takeover_timer = loop.call_later(wait_ms / 1000, self._take_over_assigned)
 
-    def _take_dealt(self) -> None:
-        for partition in self._dealt.take():
-            self._take(partition)
+    def _take_over_assigned(self) -> None:
+        for partition in self._assigned.take():
+            self._take_over(partition)
 
-    def _forget_dealt(self) -> None:
-        self._dealt.take()
-        self._take_when_stable()
+    def _discard_assigned(self) -> None:
+        self._assigned.take()
+        self._schedule_takeover()
 
-    def _take(self, partition: Partition) -> None:
-        self._takes += 1
-        epoch = self.generation * EPOCHS_PER_GENERATION + self._takes % EPOCHS_PER_GENERATION
+    def _take_over(self, partition: Partition) -> None:
+        self._takeover_count += 1
+        epoch = (
+            self.generation * EPOCHS_PER_GENERATION + self._takeover_count % EPOCHS_PER_GENERATION
+        )
         self.owned[partition] = OwnedPartition(
             partition,
             epoch=epoch,
@@ -278,22 +291,22 @@
             on_change=self._on_change,
         )
 
-    def forget(self, lost: OwnedPartition) -> None:
-        """Takes note that a partition was lost; the next renewal tells whether it comes back."""
+    def on_partition_lost(self, lost: OwnedPartition) -> None:
+        """Removes a lost partition and renews the lease, which may assign the partition again."""
         if lost in self._retired:
             self._retired.remove(lost)
         if self.owned.get(lost.partition) is lost:
             del self.owned[lost.partition]
-            self._poke.set()
+            self._renewal_wanted.set()
 
-    def _give_up(self, partitions: list[Partition], reason: str) -> None:
-        lately_ms = now_ms() - CLAIM_KNOWN_MS
+    def _retire(self, partitions: list[Partition], reason: str) -> None:
+        recent_ms = now_ms() - CLAIM_PROPAGATION_MS
         if any(
-            self.owned[one].ready and self.owned[one].since_ms > lately_ms for one in partitions
+            self.owned[one].ready and self.owned[one].since_ms > recent_ms for one in partitions
         ):
-            # Until somebody takes a partition over, what others still have of its turns is kept
-            # here; who has not heard the claim would not know where.
-            self._tell_claims()
+            # Until another daemon takes a partition over, this one writes the records of its turns
+            # that other daemons hold. Those that have not received its claim would not know that.
+            self._announce_claims()
         for partition in partitions:
             owned = self.owned.pop(partition)
             if owned.ready:
@@ -302,8 +315,8 @@
 
 
 def _owner_id(member_id: str, incarnation: int) -> str:
-    """Returns the name in the group of owners, another one for each process of a daemon.
+    """Returns the name of a daemon in the group of owners, which differs for each of its processes.
 
-    Under one name for all, a late request of a dead process would act for the one that lives.
+    With the same name for all, a late request of a stopped process would act for the running one.
     """
     return f"{member_id}.{incarnation}"
--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -1,4 +1,4 @@
-"""One partition that this daemon owns: its ledger, and the only writer to its records."""
+"""A partition that this daemon owns: its ledger and the single writer of its records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from quincespool.gateway.store.interface import FencedError
 from quincespool.gateway.store.interface import SequenceError
 from quincespool.gateway.store.interface import StoreError
-from quincespool.gateway.turns.confirmation import SharedQuestion
+from quincespool.gateway.turns.coalesced_request import CoalescedRequest
 from quincespool.gateway.turns.ledger import Admission
 from quincespool.gateway.turns.ledger import HistoryPart
 from quincespool.gateway.turns.ledger import Ledger
@@ -28,7 +28,7 @@
 from quincespool.gateway.turns.log_extent import LogExtent
 from quincespool.gateway.turns.settlement import LostPartitionError
 from quincespool.gateway.turns.settlement import Settlement
-from quincespool.gateway.turns.uncertain import UncertainTokens
+from quincespool.gateway.turns.unrecorded_tokens import UnrecordedTokens
 from quincespool.gateway.turns.waiting_records import WaitingRecord
 from quincespool.gateway.turns.waiting_records import history_parts
 from quincespool.gateway.turns.waiting_records import replaced_count
@@ -43,31 +43,32 @@
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.ledger import Record
 
-# An append that the store turned away is sent again after this pause, doubling up to the second
-# figure, and at once when any other request shows that the store is back.
+# A failed append is retried after this pause. The pause doubles up to MAX_RETRY_S and ends early
+# when any other request shows that the store is reachable again.
 FIRST_RETRY_S = 0.05
 MAX_RETRY_S = 0.4
-# A fault in reading a partition is likely to come again when it is read again.
+# Pause before a partition is given up whose records could not be read because of a fault: the next
+# attempt to read it probably fails in the same way.
 FAULT_PAUSE_S = 1.0
-# A batch stays well under the platform's two megabytes a call.
+# Well below the platform's limit of two megabytes per call.
 MAX_BATCH_BYTES = 1_000_000
 
 
 class OwnedPartition:
-    """Writes under one epoch, one batch at a time, in the order in which records were handed over.
+    """Appends records under one epoch, one batch at a time, in the order of their submission.
 
     Attributes:
-      partition: Which one.
-      since_ms: Steady clock at which it was taken over.
-      epoch: Under which it writes; a daemon that takes the partition over uses a higher one, after
-        which nothing of this one is appended any more, however late it arrives.
-      ledger: The state after all records, those on their way included.
-      inherits: Whether there were records when it took over.
-      ready: Whether it has read all records and may serve.
-      lost: Whether another daemon has taken over.
-      retired: Whether it takes no more turns, and only writes for those under way.
-      stalled: Whether the last append was not acknowledged.
-      uncertain: What was handed out meanwhile.
+      partition: Topic and number of the partition.
+      since_ms: Steady clock at which this daemon began to take the partition over.
+      epoch: Fencing epoch of all appends. The next owner uses a higher one; from then on the store
+        rejects every append under this one, however late it arrives.
+      ledger: The state after all submitted records, including those that are not durable yet.
+      had_records: Whether the partition had records when it was taken over.
+      ready: Whether all existing records are read, so that turns may be served.
+      lost: Whether this daemon no longer owns the partition; nothing is written any more.
+      retired: Whether no new turns are accepted and records are written only for turns in progress.
+      stalled: Whether the last append or read failed.
+      unrecorded: Tokens that callers received and that no durable record accounts for.
     """
 
     def __init__(
@@ -83,176 +84,186 @@
         self.since_ms = now_ms()
         self.epoch = epoch
         self.ledger = Ledger()
-        self.inherits = False
+        self.had_records = False
         self.ready = False
         self.lost = False
         self.retired = False
         self.stalled = False
         self.ready_event = asyncio.Event()
-        self.uncertain = UncertainTokens()
+        self.unrecorded = UnrecordedTokens()
         self._extent = LogExtent()
-        self._seen = FirstSeen()
+        self._end_first_seen = FirstSeen()
         self._store = store
         self._hedged = hedged
         self._on_change = on_change
         self._sequence = 0
-        self._turns = 0
-        self._confirmation = SharedQuestion(self._ask_store)
+        self._open_turns = 0
+        self._confirmation = CoalescedRequest(self._confirm_with_store)
         self._waiting: list[WaitingRecord] = []
-        # Handed over and not known to be kept when the partition was lost.
-        self._unkept: list[WaitingRecord] = []
+        # Records not known to be durable when ownership was lost, and those submitted later.
+        self._unconfirmed: list[WaitingRecord] = []
         self._wake = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    async def keep(self, record: Record) -> None:
-        """Returns once the record is durable.
+    async def append_durably(self, record: Record) -> None:
+        """Appends a record and returns once it is durable.
 
-        A caller that stops waiting does not take the record back.
+        Cancelling the call does not withdraw the record.
 
         Raises:
-          LostPartitionError: if another daemon has taken the partition over first.
+          LostPartitionError: if the partition is lost before the record is durable.
         """
         await asyncio.shield(self.submit(record))
 
     async def settle(self, record: Record, *, budget_tokens: int | None) -> Settlement:
-        """Keeps a record of a turn that was admitted by an owner shut out since.
+        """Appends a record of a turn that an earlier owner, fenced off since, has admitted.
 
-        A start counts here from now on only; turns that this owner has admitted meanwhile may have
-        used the budget up. Kept unseen, two such starts hand out more than the budget and one turn.
+        This owner has not counted the turn so far and may have allocated the rest of the budget to
+        other turns, so the start of a turn is checked against the budget again. Without the check,
+        two such starts could exceed the budget by more than one turn.
+
+        Args:
+          record: Record of the turn.
+          budget_tokens: Token budget of the program, None if it has none.
         """
         if not self.ready:
             return Settlement.NOT_HERE
         if isinstance(record, TurnStarted):
-            admission = self.ledger.admit_again(record, budget_tokens=budget_tokens)
+            admission = self.ledger.readmit(record, budget_tokens=budget_tokens)
             if admission is Admission.OVER_BUDGET:
                 return Settlement.OVER_BUDGET
         try:
-            await self.keep(record)
+            await self.append_durably(record)
         except LostPartitionError:
             return Settlement.NOT_HERE
-        return Settlement.KEPT
+        return Settlement.DURABLE
 
     def submit(self, record: Record, *, urgent: bool = True) -> asyncio.Future[None]:
-        """Hands a record over; the future tells when it is kept.
+        """Queues a record to be appended; the returned future completes when it is durable.
 
         Args:
-          record: Counts here from now on.
-          urgent: Whether it is appended at once. One that is not goes with the next one that is, so
-            that both cost one request to the store.
+          record: Record to append; the ledger includes it from now on.
+          urgent: Whether to append it at once. A record that is not urgent is appended together
+            with the next urgent one, so that both need only one request to the store.
         """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        # Nobody may wait for the outcome any more; that is no forgotten error.
+        # If nobody awaits the future any more, asyncio must not report an unretrieved exception.
         future.add_done_callback(forget_error)
         replaces = replaced_count(record)
         waiting = WaitingRecord(encode_record(record), record.program_id, future, urgent, replaces)
         if self.lost:
-            self._unkept.append(waiting)
+            self._unconfirmed.append(waiting)
             future.set_exception(LostPartitionError())
             return future
-        # Folded in at once: two turns that come at the same moment must not both find the budget
-        # that is left for one. What follows stands behind this record in the log, so a daemon that
-        # reads it later decides alike; if this one is never kept, neither is what follows.
+        # Applied before it is durable: two turns that arrive at the same moment must not both get
+        # budget that is left for only one. Later records follow this one in the log, so a daemon
+        # that reads them arrives at the same state; if this one is never appended, nor are they.
         self.ledger.apply(record)
         self._waiting.append(waiting)
         if urgent:
             self._wake.set()
         return future
 
-    def unkept_parts(self, program_id: str) -> list[HistoryPart]:
-        """Returns pieces of a program's history that the next owner perhaps has not."""
-        return history_parts(self._unkept, program_id)
+    def unconfirmed_history(self, program_id: str) -> list[HistoryPart]:
+        """Returns history records of a program that the next owner may not have read."""
+        return history_parts(self._unconfirmed, program_id)
 
     def flush(self) -> None:
-        """Has everything appended that waits for a more urgent record."""
+        """Makes all waiting records urgent, so that they are appended at once."""
         self._waiting = [one._replace(urgent=True) for one in self._waiting]
         self._wake.set()
 
     async def confirm(self) -> None:
-        """Returns once the store has said that nobody has taken the partition over.
+        """Returns once the store has confirmed that no other daemon has taken the partition over.
 
         Raises:
-          LostPartitionError: if somebody has.
-          StoreError: if the store does not say.
+          LostPartitionError: if this daemon no longer owns the partition.
+          StoreError: if the store does not answer.
         """
-        self._check_not_lost()
-        await self._confirmation.ask()
-        # While nobody has taken it over, the store says so of a partition that was lost here too.
-        self._check_not_lost()
+        self._check_ownership()
+        await self._confirmation.run()
+        # The store confirms the epoch until another daemon takes over, even if this daemon has lost
+        # the partition meanwhile.
+        self._check_ownership()
 
-    def _check_not_lost(self) -> None:
+    def _check_ownership(self) -> None:
         if self.lost:
             raise LostPartitionError
 
-    async def _ask_store(self) -> None:
+    async def _confirm_with_store(self) -> None:
         try:
             await self._hedged.first(lambda: self._send([]))
         except FencedError:
-            self.lose("fenced")
+            self.mark_lost("fenced")
 
     def expire(self, wall_ms: int, *, steady_ms: int, grace_ms: int) -> None:
-        """Forgets programs that can no longer be continued; see `Ledger.expire`."""
+        """Removes programs that can no longer be continued; see `Ledger.expire`."""
+
+        def observed_ms(program_id: str, kept_until_ms: int) -> int:
+            return self._end_first_seen.age_ms(program_id, kept_until_ms, steady_ms)
 
-        def known_ms(program_id: str, kept_until_ms: int) -> int:
-            return self._seen.age_ms(program_id, kept_until_ms, steady_ms)
+        if self.ledger.expire(wall_ms, grace_ms=grace_ms, observed_ms=observed_ms):
+            self.unrecorded.retain_only(self.ledger.programs)
+            self._end_first_seen.forget_others(self.ledger.programs)
 
-        if self.ledger.expire(wall_ms, grace_ms=grace_ms, known_ms=known_ms):
-            self.uncertain.forget_others(self.ledger.programs)
-            self._seen.forget_others(self.ledger.programs)
+    def trimmable_before(self, least_bytes: int) -> int | None:
+        """Returns the offset before which no record is needed.
 
-    def needless_before(self, least_bytes: int) -> int | None:
-        """Returns the offset before which no record is needed, None if that frees too little."""
+        Args:
+          least_bytes: None is returned if trimming would free less than this.
+        """
         if not self.ready:
             return None
-        return self._extent.needless_before(self.ledger.programs, least_bytes=least_bytes)
+        return self._extent.trimmable_before(self.ledger.programs, least_bytes=least_bytes)
 
     async def trim(self, before: int) -> None:
-        """Deletes the records before an offset that `needless_before` has returned.
+        """Deletes the records before an offset that `trimmable_before` has returned.
 
         Raises:
-          LostPartitionError: if another daemon has taken the partition over.
+          LostPartitionError: if this daemon no longer owns the partition.
           StoreError: if the store does not answer.
         """
-        # Trimming is not fenced, and programs that an owner shut out long ago takes for over may go
-        # on at the next one. What was needless before the store confirms the owner stays so, except
-        # for a program that comes back after its retention.
+        # The store does not fence trim requests. A fenced owner may consider programs expired that
+        # continue at the next owner, so ownership is confirmed first. Records that were not needed
+        # before the confirmation stay so, unless a program comes back after its retention.
         await self.confirm()
         await self._store.trim(self.partition, before)
-        self._extent.trimmed(before)
+        self._extent.drop_before(before)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+        """Whether no record waits to be appended."""
         return not self._waiting
 
     @property
     def in_use(self) -> bool:
-        """Whether turns under way, or what they have handed over, need it."""
-        return not self.lost and (self._turns > 0 or not self.idle)
+        """Whether turns are in progress or records wait to be appended."""
+        return not self.lost and (self._open_turns > 0 or not self.idle)
 
     @contextlib.contextmanager
-    def turn_under_way(self) -> Iterator[None]:
-        """Counts a turn while it runs."""
-        self._turns += 1
+    def turn_in_progress(self) -> Iterator[None]:
+        """Counts a turn as in progress while the context is open."""
+        self._open_turns += 1
         try:
             yield
         finally:
-            self._turns -= 1
+            self._open_turns -= 1
 
     def retire(self, reason: str) -> None:
-        """Has it write on, for turns under way, until another daemon has taken over.
+        """Accepts no new turns; records of turns in progress are written until another takeover.
 
-        The epoch is the fence, not membership in the group: nobody may be there to take over, and
-        what is appended before somebody does is read by whoever it is.
+        Appends are fenced by the epoch, not by membership in the group of owners. There may be no
+        other daemon to take over, and the next owner reads everything appended before its takeover.
         """
         if not self.ready:
-            self.lose(reason)
+            self.mark_lost(reason)
             return
         self.retired = True
         self.flush()
         self._on_change(self, reason)
 
-    def lose(self, reason: str) -> None:
-        """Stops writing; whatever waits fails."""
+    def mark_lost(self, reason: str) -> None:
+        """Marks ownership as lost and stops writing; waiting records fail."""
         if self.lost:
             return
         self.lost = True
@@ -261,14 +272,14 @@
         if self._task is not asyncio.current_task():
             self._task.cancel()
         for waiting in self._waiting:
-            if not waiting.kept.done():
-                waiting.kept.set_exception(LostPartitionError())
+            if not waiting.durable.done():
+                waiting.durable.set_exception(LostPartitionError())
         self._on_change(self, reason)
-        self._unkept += self._waiting
+        self._unconfirmed += self._waiting
         self._waiting.clear()
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for people to read."""
+        """Returns the state for diagnostics."""
         return {
             "topic": self.partition.topic,
             "number": self.partition.number,
@@ -289,27 +300,28 @@
                 while any(one.urgent for one in self._waiting):
                     await self._append_batch()
         except FencedError:
-            self.lose("fenced")
+            self.mark_lost("fenced")
         except SequenceError as error:
-            # Only this task appends under this epoch, so the sequence can differ only if the store
-            # has forgotten the writer; a new take-over reads what is there.
-            self.lose(f"sequence {error.expected} expected, {self._sequence} sent")
+            # Only this task appends under this epoch, so sequence numbers can differ only if the
+            # store has lost its state of the writer. A new takeover reads what the store has.
+            self.mark_lost(f"sequence {error.expected} expected, {self._sequence} sent")
         except Exception as error:
-            # Whoever takes the partition over begins anew; nothing would be written here any more.
+            # Without this task nothing is written any more. The next takeover, here or at another
+            # daemon, starts again from the stored records.
             report_fault("partition failed", error)
             if not self.ready:
                 await asyncio.sleep(FAULT_PAUSE_S)
-            self.lose(f"failed: {error!r}")
+            self.mark_lost(f"failed: {error!r}")
 
     async def _take_over(self) -> None:
-        """Shuts the last owner out, then reads everything that it has written."""
+        """Fences off the previous owner with an empty append, then reads all records."""
         started_s = time.monotonic()
         end_offset = await self._append([])
-        self.inherits = end_offset > 0
+        self.had_records = end_offset > 0
         offset = 0
         while offset < end_offset:
             offset = await self._read_from(offset)
-        self.uncertain.inherit(self.ledger.programs)
+        self.unrecorded.mark_inherited(self.ledger.programs)
         self.ready = True
         self.ready_event.set()
         took_ms = int((time.monotonic() - started_s) * 1000)
@@ -317,8 +329,8 @@
 
     async def _read_from(self, offset: int) -> int:
         try:
-            # Sent once: all reads share the store's bandwidth, and after a restart of all daemons
-            # copies of a page that is on its way would hold every other page up.
+            # Not hedged: all reads share the store's bandwidth, and after a restart of all daemons
+            # duplicate requests for a page in flight would delay every other page.
             page = await self._store.read(self.partition, offset)
         except ExpiredError as error:
             return max(offset + 1, error.first_offset)
@@ -332,13 +344,13 @@
                 record = decode_record(data)
                 self.ledger.apply(record)
                 replaces = replaced_count(record)
-                self._extent.note(position, record.program_id, len(data), replaces=replaces)
+                self._extent.add_record(position, record.program_id, len(data), replaces=replaces)
             except msgspec.DecodeError as error:
-                self._extent.note_unknown(position)
-                # A record of a version that this one does not know; its turn can't be continued
-                # here, and the log line is the only sign.
+                self._extent.add_unreadable(position)
+                # Written by a version with other record types. Its turn can't be continued here,
+                # and this log line is the only trace of that.
                 self._on_change(self, f"undecodable record: {error}")
-        self._extent.mark(offset + len(page.records))
+        self._extent.add_mark(offset + len(page.records))
         return offset + len(page.records)
 
     async def _append_batch(self) -> None:
@@ -353,16 +365,21 @@
         del self._waiting[: len(batch)]
         for offset, waiting in enumerate(batch, start=end_offset - len(batch)):
             size_bytes = len(waiting.data)
-            self._extent.note(offset, waiting.program_id, size_bytes, replaces=waiting.replaces)
-            self.uncertain.kept(waiting.program_id)
-            if not waiting.kept.done():
-                waiting.kept.set_result(None)
-        self._extent.mark(end_offset)
-        on_their_way = {waiting.program_id for waiting in self._waiting}
-        self.uncertain.settle({waiting.program_id for waiting in batch} - on_their_way)
+            self._extent.add_record(
+                offset, waiting.program_id, size_bytes, replaces=waiting.replaces
+            )
+            self.unrecorded.mark_recorded(waiting.program_id)
+            if not waiting.durable.done():
+                waiting.durable.set_result(None)
+        self._extent.add_mark(end_offset)
+        still_waiting = {waiting.program_id for waiting in self._waiting}
+        self.unrecorded.mark_all_recorded({waiting.program_id for waiting in batch} - still_waiting)
 
     async def _append(self, records: list[bytes]) -> int:
-        """Appends until the store has answered; the same sequence number makes that harmless."""
+        """Appends records, retrying until the store has answered.
+
+        Retries carry the same sequence number, by which the store detects duplicates.
+        """
         pause_s = FIRST_RETRY_S
         while True:
             try:
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_components.py
@@ -1,4 +1,4 @@
-"""The parts that daemons share work by: who owns what, the links, and what goes over them."""
+"""Builds the components by which daemons share the work on programs, and dispatches messages."""
 
 from __future__ import annotations
 
@@ -43,11 +43,19 @@
     from quincespool.gateway.turns.partition import OwnedPartition
 
 
-class ProgramParts:
-    """Makes the parts and hands each message to the one that it is for.
+class ProgramComponents:
+    """Builds the components and passes each message of another daemon to the one that handles it.
 
     Attributes:
-      partition_count: Partitions of program records, of all daemons together.
+      partition_count: Number of partitions of program records, over all daemons.
+      ownership: Which partitions this daemon owns.
+      links: Connections to the other daemons.
+      finder: Looks up turns at other owners.
+      admission: Admission control of programs.
+      turns: Runs turns at this daemon.
+      relay: Forwards turns to the owners of their programs.
+      limits: Limits of accounts.
+      copies: Exchange of copies of the configuration.
     """
 
     def __init__(
@@ -61,11 +69,11 @@
         services: Services,
         members: Members,
         routes: RouteTable,
-        beliefs: Beliefs,
+        cluster_view: Beliefs,
         on_partition: Callable[[OwnedPartition, str], None],
         on_refused: Callable[[str], None],
         has_time_until: Callable[[int], bool],
-        tell_claims: Callable[[], None],
+        announce_claims: Callable[[], None],
     ) -> None:
         topics = settings.owner_topic_names
         partitions = list_partitions(topics, settings.store_partitions)
@@ -80,15 +88,15 @@
             hedged=hedged,
             store_reachable=lambda: store_health.reachable,
             on_change=on_partition,
-            tell_claims=tell_claims,
+            announce_claims=announce_claims,
             on_assignment=lambda generation, count: log.write(
                 "partitions assigned", generation=generation, partitions=count
             ),
         )
         self.links = Links(
             settings.member_id,
-            on_message=self._take_message,
-            on_lost=self._lose_link,
+            on_message=self._dispatch_message,
+            on_lost=self._on_link_lost,
             on_refused=on_refused,
         )
         self.finder = TurnFinder(
@@ -138,10 +146,10 @@
             members=members,
             links=self.links,
             log=log,
-            adopt=beliefs.adopt_copy,
+            adopt=cluster_view.adopt_copy,
         )
 
-    def _take_message(self, link: Link, sender: str, message: Any) -> None:
+    def _dispatch_message(self, link: Link, sender: str, message: Any) -> None:
         if isinstance(message, FindTurn | TurnFound | TurnAbsent | TurnForeign):
             self.finder.on_message(link, message)
         elif isinstance(message, PermitQuestion | PermitAnswer | PermitReturn):
@@ -151,7 +159,7 @@
         else:
             self.relay.on_message(link, sender, message)
 
-    def _lose_link(self, link: Link) -> None:
+    def _on_link_lost(self, link: Link) -> None:
         self.relay.on_lost(link)
         self.limits.on_lost(link)
 
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -195,7 +195,7 @@
                 message = _write_settle(next(self._ids), partition, record, budget_tokens)
                 outcome = await self._settle_at(owner[0].peer_address, message, until_ms)
             if outcome is not Settlement.NOT_HERE:
-                return outcome is Settlement.KEPT
+                return outcome is Settlement.DURABLE
             await asyncio.sleep(OWNER_POLL_S)
         return False
 
--- a/src/quincespool/gateway/turns/renewal.py
+++ b/src/quincespool/gateway/turns/renewal.py
@@ -1,8 +1,8 @@
-"""Writes programs that live long once more before the store drops their oldest records.
+"""Writes a snapshot of long-lived programs before the store drops their oldest records.
 
-What goes wrong without it: a later owner reads a chain that lacks its first turns, and a budget of
-which nothing is spent. One notices 404 and more tokens than the budget for programs older than the
-store's retention. A program that the store keeps longer than it can be continued costs nothing.
+Without it, a later owner reads a history that lacks its first turns and a budget of which nothing
+is spent: programs older than the store's retention get 404 and more tokens than their budget.
+Programs whose records the store retains for longer than they can be continued aren't written again.
 """
 
 from __future__ import annotations
@@ -16,32 +16,39 @@
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.net.metrics import Metrics
 
-# A quarter of the retention is left for outages, clocks that differ and changes of owner.
+# A program is renewed when its oldest record has reached this share of the store's retention; the
+# last quarter is left for outages, clock differences and changes of owner.
 RENEWAL_SHARE = 0.75
-# Clocks of daemons differ: a program that ends this part of the retention before its records are
-# dropped need not be written again.
+# A program need not be renewed if it ends at least this share of the retention before its records
+# are dropped. The margin allows for clocks of daemons that differ.
 SLACK_SHARE = 0.1
-# Looks at all programs a retention.
+# Number of checks of all programs per retention of the store.
 CHECKS_PER_RETENTION = 20
-# Of one partition between two looks, so that turns do not wait behind it.
+# Limit per partition and check, so that records of turns do not wait behind renewals.
 MAX_RENEWED_BYTES = 1_000_000
 
 
-class Renewals:
-    """Of all partitions of one daemon."""
+class ProgramRenewer:
+    """Renews the programs of all partitions of one daemon."""
 
     def __init__(self, *, store_retention_ms: int, metrics: Metrics) -> None:
         self._retention_ms = store_retention_ms
         self._metrics = metrics
-        self._seen = FirstSeen()
+        self._first_seen = FirstSeen()
 
     @property
     def interval_ms(self) -> int:
-        """Time between two looks, at the most."""
+        """Longest allowed time between two checks."""
         return max(1, self._retention_ms // CHECKS_PER_RETENTION)
 
     def renew(self, owned: OwnedPartition, *, wall_ms: int, now_ms: int) -> None:
-        """Hands over the records of programs whose oldest one is about to be dropped."""
+        """Submits snapshots of programs whose oldest record is about to be dropped.
+
+        Args:
+          owned: Partition to check.
+          wall_ms: Wall clock.
+          now_ms: Steady clock.
+        """
         if not owned.ready or owned.stalled:
             return
         due = [
@@ -53,17 +60,17 @@
         for _, program_id in sorted(due):
             if size_bytes > MAX_RENEWED_BYTES:
                 return
-            for record in owned.ledger.renewed(program_id, wall_ms):
+            for record in owned.ledger.renewal_records(program_id, wall_ms):
                 size_bytes += len(getattr(record, "text", b""))
                 owned.submit(record)
             self._metrics.count("gateway_programs_renewed_total")
 
-    def forget_others(self, program_ids: set[str]) -> None:
-        """Forgets programs but these."""
-        self._seen.forget_others(program_ids)
+    def retain_only(self, program_ids: set[str]) -> None:
+        """Drops the state of all programs except these."""
+        self._first_seen.forget_others(program_ids)
 
     def _is_due(self, program_id: str, program: Program, wall_ms: int, now_ms: int) -> bool:
-        known_ms = self._seen.age_ms(program_id, program.oldest_ms, now_ms)
+        known_ms = self._first_seen.age_ms(program_id, program.oldest_ms, now_ms)
         needed_ms = program.kept_until_ms - program.oldest_ms
         if needed_ms < (1 - SLACK_SHARE) * self._retention_ms:
             return False
--- a/src/quincespool/gateway/turns/runner.py
+++ b/src/quincespool/gateway/turns/runner.py
@@ -109,7 +109,7 @@
             engine=self._last_engine.get(turn.program_id),
         )
         try:
-            with owned.turn_under_way():
+            with owned.turn_in_progress():
                 async with asyncio.timeout(max(0, until_ms - now_ms()) / 1000):
                     await run.answer()
         except TimeoutError:
@@ -163,7 +163,7 @@
         self, call: Call, turn: Turn, owned: OwnedPartition, *, is_patient: bool
     ) -> Refusal | None:
         reachable = self._store_reachable()
-        may_begin = owned.uncertain.may_begin(turn.program_id, turn.most_tokens)
+        may_begin = owned.unrecorded.may_start_turn(turn.program_id, turn.most_tokens)
         if (owned.stalled or not reachable) and (is_patient or not may_begin):
             # Another daemon, which the store may serve, is told apart whether this one is turned
             # away, and loses the partition soon, or only its appends are not answered.
@@ -173,9 +173,9 @@
             program_id=turn.program_id,
             previous_id=turn.previous_id,
             budget_tokens=turn.budget_tokens,
-            most_tokens=turn.most_tokens,
+            max_tokens=turn.most_tokens,
         )
-        if admission is Admission.FINE:
+        if admission is Admission.ADMITTED:
             return None
         program = owned.ledger.programs.get(turn.program_id)
         self._services.log.write(
--- a/src/quincespool/gateway/turns/settlement.py
+++ b/src/quincespool/gateway/turns/settlement.py
@@ -1,4 +1,4 @@
-"""What becomes of records of turns whose partition changes hands."""
+"""Outcomes for records of turns whose partition has changed its owner."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class Settlement(StrEnum):
-    """What became of a record of a turn that began at an earlier owner.
+    """Outcome of passing a record of a turn that began at an earlier owner to the present one.
 
     Attributes:
-      KEPT: It is durable.
-      OVER_BUDGET: It would start a turn for which the budget is not enough any more.
-      NOT_HERE: Another daemon owns the partition, or it is not read yet.
+      DURABLE: The record is durable.
+      OVER_BUDGET: The record starts a turn that the remaining budget does not allow any more.
+      NOT_HERE: This daemon does not own the partition, or has not read all its records yet.
     """
 
-    KEPT = "kept"
+    DURABLE = "kept"
     OVER_BUDGET = "over_budget"
     NOT_HERE = "not_here"
 
 
 class LostPartitionError(Exception):
-    """Another daemon owns the partition now; what was not yet kept is not."""
+    """This daemon no longer owns the partition; records not yet durable may never be appended."""
--- a/src/quincespool/gateway/turns/trimming.py
+++ b/src/quincespool/gateway/turns/trimming.py
@@ -1,4 +1,4 @@
-"""Deletes records that no program needs any more, before the store has no room for new ones."""
+"""Deletes records that no program needs any more, before the store is full."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.net.metrics import Metrics
 
-# Of all partitions together, a quarter of what the store takes: below it, its own retention frees
-# enough, and nothing is sent for it.
+# Total over all partitions, a quarter of the store's capacity. Below it the store's own retention
+# frees enough space, and no trim requests are sent.
 UNTRIMMED_BYTES = 100_000_000
 
 
-class Trimming:
-    """Of all partitions of one daemon."""
+class LogTrimmer:
+    """Trims the logs of all partitions of one daemon."""
 
     def __init__(
         self, *, partition_count: int, store_full: Callable[[], bool], metrics: Metrics
@@ -29,15 +29,15 @@
         self._least_bytes = UNTRIMMED_BYTES // partition_count
         self._store_full = store_full
         self._metrics = metrics
-        self._under_way: set[OwnedPartition] = set()
+        self._in_progress: set[OwnedPartition] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def trim(self, owned: OwnedPartition) -> None:
-        """Begins to delete what a partition does not need, if that is much or the store is full."""
+        """Starts to delete unneeded records if they are large enough or the store is full."""
         least_bytes = 1 if self._store_full() else self._least_bytes
-        before = owned.needless_before(least_bytes)
-        if before is not None and owned not in self._under_way:
-            self._under_way.add(owned)
+        before = owned.trimmable_before(least_bytes)
+        if before is not None and owned not in self._in_progress:
+            self._in_progress.add(owned)
             start_kept(self._trim(owned, before), self._tasks)
 
     async def _trim(self, owned: OwnedPartition, before: int) -> None:
@@ -45,7 +45,7 @@
             await owned.trim(before)
             self._metrics.count("gateway_log_trims_total")
         except (LostPartitionError, StoreError):
-            # Tried again at the next look, by whoever owns it then.
+            # Retried at the next check, by the owner at that time.
             return
         finally:
-            self._under_way.discard(owned)
+            self._in_progress.discard(owned)
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -100,7 +100,7 @@
         self._start = TurnStarted(
             turn_id=call.call_id,
             program_id=turn.program_id,
-            most_tokens=turn.most_tokens,
+            max_tokens=turn.most_tokens,
             at_ms=wall_ms(),
             retention_ms=terms.retention_ms,
         )
@@ -123,7 +123,7 @@
         assert self._start_kept is not None
         if self._start_deferred:
             return
-        if not self._owned.uncertain.allows(self._turn.program_id):
+        if not self._owned.unrecorded.is_allowed(self._turn.program_id):
             await self._durable_start()
             return
         if self._owned.stalled or not self._services.store_reachable():
@@ -137,7 +137,7 @@
         tokens = events * self._terms.tokens_per_event
         if not self._start_is_kept:
             program_id, most_tokens = self._turn.program_id, self._turn.most_tokens
-            if not self._owned.uncertain.hand_out(program_id, tokens, most_tokens):
+            if not self._owned.unrecorded.try_issue(program_id, tokens, most_tokens):
                 if self._owned.stalled or not self._services.store_reachable():
                     raise BrokenTurnError(may_have_run(STORE_AWAY))
                 self._owned.flush()
@@ -201,19 +201,19 @@
         return self._start_settled or start.exception() is None
 
     def _submit_start(self) -> asyncio.Future[None]:
-        uncertain, program_id = self._owned.uncertain, self._turn.program_id
+        uncertain, program_id = self._owned.unrecorded, self._turn.program_id
         self._start_deferred = self._may_defer_start()
         start = self._owned.submit(self._start, urgent=not self._start_deferred)
-        uncertain.begin(program_id)
-        start.add_done_callback(lambda _: uncertain.end(program_id))
+        uncertain.start_turn(program_id)
+        start.add_done_callback(lambda _: uncertain.end_turn(program_id))
         return start
 
     def _may_defer_start(self) -> bool:
         """Whether the start may be appended with the end, since nothing else is uncertain."""
-        uncertain, program_id = self._owned.uncertain, self._turn.program_id
+        uncertain, program_id = self._owned.unrecorded, self._turn.program_id
         if self._owned.stalled or not self._services.store_reachable():
             return False
-        return uncertain.allows(program_id) and uncertain.is_clear(program_id)
+        return uncertain.is_allowed(program_id) and uncertain.is_fully_recorded(program_id)
 
     async def _settle_broken(self, kept: asyncio.Future[None], record: TurnBroken) -> None:
         """Tells the partition's next owner what was handed out, if this one has lost it.
@@ -261,7 +261,7 @@
 
         Without these the turn would be whole, and nothing could go on from it.
         """
-        parts = self._owned.unkept_parts(self._turn.program_id)
+        parts = self._owned.unconfirmed_history(self._turn.program_id)
         for one in [*parts, record]:
             if not await self._settle(one, until_ms - now_ms()):
                 return False
--- a/src/quincespool/gateway/turns/waiting_records.py
+++ b/src/quincespool/gateway/turns/waiting_records.py
@@ -1,4 +1,4 @@
-"""Records that were handed to a partition and are not known to be durable."""
+"""Records that were submitted to a partition and are not known to be durable."""
 
 from __future__ import annotations
 
@@ -17,29 +17,30 @@
 
 
 class WaitingRecord(NamedTuple):
-    """A record on its way.
+    """Record that waits to be appended.
 
     Attributes:
-      data: The record as it is appended.
-      kept: Tells when it is durable.
-      urgent: Whether it is appended at once, not only with the next one that is.
-      replaces: See `LogExtent.note`.
+      data: The record in its stored encoding.
+      program_id: Program of the record.
+      durable: Completes when the record is durable.
+      urgent: Whether to append it at once, and not only together with the next urgent record.
+      replaces: See `LogExtent.add_record`.
     """
 
     data: bytes
     program_id: str
-    kept: asyncio.Future[None]
+    durable: asyncio.Future[None]
     urgent: bool
     replaces: int
 
 
 def replaced_count(record: Record) -> int:
-    """Returns with how many records before it a record replaces all others of its program."""
+    """Returns how many records directly before a snapshot belong to it, 0 for other records."""
     return record.part_count if isinstance(record, ProgramRenewed) else 0
 
 
 def history_parts(waiting: Iterable[WaitingRecord], program_id: str) -> list[HistoryPart]:
-    """Returns the pieces of a program's history among some records, but for those of a renewal."""
+    """Returns the `HistoryPart` records of a program, except for those of a snapshot."""
     parts: list[HistoryPart] = []
     for one in waiting:
         if one.program_id != program_id:
@@ -48,6 +49,6 @@
         if isinstance(record, HistoryPart):
             parts.append(record)
         elif one.replaces:
-            # The records that a renewal was to replace are in force.
+            # The records that the snapshot was to replace are still valid.
             del parts[-one.replaces :]
     return parts
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/upkeep.py
@@ -18,9 +18,9 @@
     from quincespool.gateway.store.beliefs import Beliefs
     from quincespool.gateway.ticker import Ticker
     from quincespool.gateway.turns.ownership import Ownership
-    from quincespool.gateway.turns.renewal import Renewals
+    from quincespool.gateway.turns.renewal import ProgramRenewer
     from quincespool.gateway.turns.runner import TurnRunner
-    from quincespool.gateway.turns.trimming import Trimming
+    from quincespool.gateway.turns.trimming import LogTrimmer
 
 # Between two looks at a peer that is silent; a small part of the time for which it may be.
 SILENCE_CHECK_MS = 50
@@ -44,8 +44,8 @@
         ownership: Ownership,
         turns: TurnRunner,
         quiet_backends: QuietBackends,
-        renewals: Renewals,
-        trimming: Trimming,
+        renewals: ProgramRenewer,
+        trimming: LogTrimmer,
     ) -> None:
         self._beliefs = beliefs
         self._presence = presence
@@ -89,11 +89,11 @@
         for owned in self._ownership.owned.values():
             owned.expire(wall_ms(), steady_ms=now_ms(), grace_ms=LEDGER_GRACE_MS)
             self._trimming.trim(owned)
-        self._ownership.end_retired()
+        self._ownership.close_unused()
         self._turns.forget_programs()
 
     def _renew(self) -> None:
         partitions = list(self._ownership.owned.values())
         for owned in partitions:
             self._renewals.renew(owned, wall_ms=wall_ms(), now_ms=now_ms())
-        self._renewals.forget_others({one for owned in partitions for one in owned.ledger.programs})
+        self._renewals.retain_only({one for owned in partitions for one in owned.ledger.programs})
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -203,8 +203,8 @@
         await _configure(cluster, 2, rate_per_s=0.1)
         cut_off = cluster.nodes["a"].daemon
         for one in list(cut_off._ownership.owned.values()):
-            one.lose("test")
-        cut_off._ownership._wanted = False
+            one.mark_lost("test")
+        cut_off._ownership._is_joining = False
         for peer in ("b", "c"):
             cut_off._members.remove(peer)
             cut_off._members.put(_gone(peer), -1_000_000)
--- a/tests/gateway/gateway_cluster.py
+++ b/tests/gateway/gateway_cluster.py
@@ -144,8 +144,8 @@
         """Ends a daemon as a crash does: nothing is handed over."""
         node = self.nodes.pop(name)
         for one in list(node.daemon._ownership.owned.values()):
-            one.lose("killed")
-        node.daemon._ownership._wanted = False
+            one.mark_lost("killed")
+        node.daemon._ownership._is_joining = False
         await node.daemon.close()
 
     def announce(self, backend_id: str, service: str, *, state: str = "ready") -> None:
--- a/tests/gateway/store/test_store_away.py
+++ b/tests/gateway/store/test_store_away.py
@@ -123,7 +123,7 @@
         future = submit(owned, record, urgent=urgent)
         if isinstance(record, TurnStarted) and record.turn_id == "t1":
             monkeypatch.setattr(OwnedPartition, "submit", submit)
-            owned.lose("taken over")
+            owned.mark_lost("taken over")
         return future
 
     async with GatewayCluster(1) as cluster:
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -63,7 +63,7 @@
     def __init__(self, took_over_ms: int = 0) -> None:
         self._took_over_ms = took_over_ms
 
-    def writes_since(self, since_ms: int) -> bool:
+    def has_retired_takeover_since(self, since_ms: int) -> bool:
         return self._took_over_ms > since_ms
 
     async def leave(self) -> None:
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -225,7 +225,7 @@
                 raise self._broken
         await self._end_round()
         for owned in self._owners:
-            owned.lose("over")
+            owned.mark_lost("over")
 
     def _step(self) -> None:
         draw = self._chance.random()
@@ -251,7 +251,7 @@
         )
         self._owners.append(owned)
         if len(self._owners) > MAX_OWNERS:
-            self._owners.pop(0).lose("killed")
+            self._owners.pop(0).mark_lost("killed")
 
     def _retire(self) -> None:
         """Has the newest owner leave: it writes for its turns until somebody takes over."""
@@ -284,16 +284,16 @@
             program_id=program,
             previous_id=previous,
             budget_tokens=BUDGET_TOKENS,
-            most_tokens=MOST_TOKENS,
+            max_tokens=MOST_TOKENS,
         )
-        if admission is not Admission.FINE:
+        if admission is not Admission.ADMITTED:
             await self._refuse(owned, admission, previous, whole)
             return
         if previous:
             assert owned.ledger.history(program, previous) == whole[previous]
         start = TurnStarted(turn, program, MOST_TOKENS, 0)
-        uncertain = owned.uncertain
-        may_defer = uncertain.allows(program) and uncertain.is_clear(program)
+        uncertain = owned.unrecorded
+        may_defer = uncertain.is_allowed(program) and uncertain.is_fully_recorded(program)
         defers = self._runs_on and not owned.stalled and may_defer
         runs_on = self._runs_on and (owned.stalled or defers)
         if not runs_on and not await self._keep(owned, start):
@@ -329,10 +329,10 @@
         self, owned: OwnedPartition, start: TurnStarted, tokens: int, *, urgent: bool
     ) -> asyncio.Future[None] | None:
         """Hands tokens out before the start is durable; returns its future, None if it may not."""
-        uncertain = owned.uncertain
-        if not uncertain.may_begin(start.program_id, MOST_TOKENS):
+        uncertain = owned.unrecorded
+        if not uncertain.may_start_turn(start.program_id, MOST_TOKENS):
             return None
-        if not uncertain.hand_out(start.program_id, tokens, MOST_TOKENS):
+        if not uncertain.try_issue(start.program_id, tokens, MOST_TOKENS):
             return None
         self.uncertain += 1
         return owned.submit(start, urgent=urgent)
@@ -373,7 +373,7 @@
             newest = self._owners[-1]
             budget_tokens = None if handed_out else BUDGET_TOKENS
             settled = await newest.settle(record, budget_tokens=budget_tokens)
-            return settled is Settlement.KEPT
+            return settled is Settlement.DURABLE
         return True
 
     async def _end_round(self) -> None:
--- a/tests/gateway/turns/test_imported_histories.py
+++ b/tests/gateway/turns/test_imported_histories.py
@@ -43,7 +43,7 @@
 
         async def find_and_lose(turn_id: str, account: str) -> FoundTurn | None:
             found = await find(turn_id, account)
-            _owned(cluster, "a")[daemon._parts.relay._partition_for(here)].lose("leaving")
+            _owned(cluster, "a")[daemon._parts.relay._partition_for(here)].mark_lost("leaving")
             return found
 
         monkeypatch.setattr(finder, "find", find_and_lose)
@@ -81,7 +81,7 @@
         def submit_and_lose(record: Record, *, urgent: bool = True) -> asyncio.Future[None]:
             del urgent
             if isinstance(record, TurnBroken):
-                owned.lose("fenced")
+                owned.mark_lost("fenced")
             return submit(record)
 
         for engine in ("e1", "e2"):
--- a/tests/gateway/turns/test_ledger_machine.py
+++ b/tests/gateway/turns/test_ledger_machine.py
@@ -54,9 +54,9 @@
         whole = list(self.texts[program])
         previous = whole[pick] if pick < len(whole) else ""
         admission = self.ledger.admit(
-            program_id=program, previous_id=previous, budget_tokens=BUDGET, most_tokens=MOST
+            program_id=program, previous_id=previous, budget_tokens=BUDGET, max_tokens=MOST
         )
-        if admission is not Admission.FINE:
+        if admission is not Admission.ADMITTED:
             assert admission is Admission.OVER_BUDGET
             return
         self.count += 1
@@ -86,7 +86,7 @@
         if program not in self.ledger.programs:
             return
         start = len(self.records)
-        renewed = self.ledger.renewed(program, 0)
+        renewed = self.ledger.renewal_records(program, 0)
         for record in renewed[:dies_after]:
             self.write(record)
         if dies_after is None or dies_after >= len(renewed):
@@ -136,7 +136,7 @@
 
 
 def test_a_turn_that_does_not_exist_is_not_admitted() -> None:
-    admission = Ledger().admit(program_id="p", previous_id="x", budget_tokens=None, most_tokens=1)
+    admission = Ledger().admit(program_id="p", previous_id="x", budget_tokens=None, max_tokens=1)
     assert admission is Admission.NO_SUCH_TURN
 
 
--- a/tests/gateway/turns/test_lost_histories.py
+++ b/tests/gateway/turns/test_lost_histories.py
@@ -90,7 +90,7 @@
     ledger = Ledger()
     for previous in ("", "t"):
         ledger.apply(TurnEnded("t", "p", previous, b"a", b"b", 5, 60_000, 0))
-    admission = ledger.admit(program_id="p", previous_id="t", budget_tokens=None, most_tokens=1)
+    admission = ledger.admit(program_id="p", previous_id="t", budget_tokens=None, max_tokens=1)
     assert admission is Admission.NO_SUCH_TURN
     assert ledger.history("p", "t") is None
 
@@ -150,7 +150,7 @@
             for one in cluster.nodes["a"].daemon._ownership.owned.values()
             if "p1" in one.ledger.programs
         )
-        await owned.keep(TurnStarted("open", "p1", 60, wall_ms()))
+        await owned.append_durably(TurnStarted("open", "p1", 60, wall_ms()))
         await asyncio.sleep(10)
         await _replace_all(cluster)
 
@@ -183,7 +183,7 @@
     monkeypatch.setattr(upkeep, "LEDGER_GRACE_MS", 0)
     async with GatewayCluster() as cluster:
         owned = _owned(cluster, "p1")
-        await asyncio.gather(*[owned.keep(_old_turn(number)) for number in range(5)])
+        await asyncio.gather(*[owned.append_durably(_old_turn(number)) for number in range(5)])
         first, _ = await cluster.turn("a", "p2", body=b"one|")
         cluster.state.total_bytes = cluster.state.stored_bytes
         _, reply = await cluster.turn("a", "p3", deadline_ms=1_000)
@@ -202,11 +202,11 @@
 async def test_an_owner_shut_out_trims_nothing() -> None:
     async with GatewayCluster() as cluster:
         owned = _owned(cluster, "p1")
-        await asyncio.gather(*[owned.keep(_old_turn(number)) for number in range(5)])
+        await asyncio.gather(*[owned.append_durably(_old_turn(number)) for number in range(5)])
         cluster.state.partition(*owned.partition).epoch += 1
         for steady_ms in (now_ms(), now_ms() + 1_000):
             owned.expire(wall_ms(), steady_ms=steady_ms, grace_ms=0)
-        before = owned.needless_before(1)
+        before = owned.trimmable_before(1)
         assert before is not None
         with pytest.raises(LostPartitionError):
             await owned.trim(before)
@@ -247,8 +247,8 @@
         with pytest.raises(ConnectionLostError):
             await cluster.turn("a", "p1", budget=70)
         owned = _owned(cluster, "p1")
-        await owned.keep(TurnStarted("late", "p1", 50, wall_ms() + 50_000))
-        await owned.keep(TurnBroken("late", "p1", 50, wall_ms() + 50_000))
+        await owned.append_durably(TurnStarted("late", "p1", 50, wall_ms() + 50_000))
+        await owned.append_durably(TurnBroken("late", "p1", 50, wall_ms() + 50_000))
         for passed_ms in (0, 105_000):
             later_ms = wall_ms() + passed_ms
             owned.expire(later_ms, steady_ms=now_ms() + passed_ms, grace_ms=1_000)
@@ -266,7 +266,7 @@
 
         async def find_late(turn_id: str, account: str) -> FoundTurn | None:
             found = await find(turn_id, account)
-            owned.lose("reassigned")
+            owned.mark_lost("reassigned")
             return found
 
         finder.find = find_late  # type: ignore[method-assign]
@@ -316,27 +316,27 @@
         owned = _owned(cluster, "p1")
         imported = HistoryPart("elsewhere", "p1", "", b"text", 60_000, wall_ms())
         owned.submit(imported)
-        for record in owned.ledger.renewed("p1", wall_ms()):
+        for record in owned.ledger.renewal_records("p1", wall_ms()):
             owned.submit(record)
-        owned.lose("fenced")
+        owned.mark_lost("fenced")
         later = HistoryPart("t#head", "p1", "", b"text", 60_000, wall_ms())
         owned.submit(later)
-        assert owned.unkept_parts("p1") == [imported, later]
-        assert owned.unkept_parts("p2") == []
+        assert owned.unconfirmed_history("p1") == [imported, later]
+        assert owned.unconfirmed_history("p2") == []
 
 
 def test_the_log_is_needed_from_the_oldest_program_or_unreadable_record_on() -> None:
     extent = LogExtent()
     for offset, program in enumerate(("p", "q", "p", "p", "q")):
-        extent.note(offset, program, 60_000)
-        extent.mark(offset + 1)
-    assert extent.needless_before({"p", "q"}, least_bytes=1) is None
-    assert extent.needless_before({"q"}, least_bytes=1) == 1
-    extent.note(5, "q", 60_000, replaces=1)
-    extent.mark(6)
-    assert extent.needless_before({"q"}, least_bytes=1) == 4
-    assert extent.needless_before({"q"}, least_bytes=300_000) is None
-    extent.note_unknown(2)
-    assert extent.needless_before({"q"}, least_bytes=1) == 2
-    extent.trimmed(2)
-    assert extent.needless_before({"q"}, least_bytes=1) is None
+        extent.add_record(offset, program, 60_000)
+        extent.add_mark(offset + 1)
+    assert extent.trimmable_before({"p", "q"}, least_bytes=1) is None
+    assert extent.trimmable_before({"q"}, least_bytes=1) == 1
+    extent.add_record(5, "q", 60_000, replaces=1)
+    extent.add_mark(6)
+    assert extent.trimmable_before({"q"}, least_bytes=1) == 4
+    assert extent.trimmable_before({"q"}, least_bytes=300_000) is None
+    extent.add_unreadable(2)
+    assert extent.trimmable_before({"q"}, least_bytes=1) == 2
+    extent.drop_before(2)
+    assert extent.trimmable_before({"q"}, least_bytes=1) is None
--- a/tests/gateway/turns/test_ownership.py
+++ b/tests/gateway/turns/test_ownership.py
@@ -23,7 +23,7 @@
     def forget_lost(owned: OwnedPartition, detail: str) -> None:
         del detail
         if owned.lost:
-            ownership.forget(owned)
+            ownership.on_partition_lost(owned)
 
     ownership = Ownership(
         member_id="a",
@@ -35,7 +35,7 @@
         store_reachable=lambda: True,
         on_change=forget_lost,
         on_assignment=lambda generation, count: None,
-        tell_claims=tell_claims,
+        announce_claims=tell_claims,
     )
     return ownership
 
@@ -57,14 +57,14 @@
                 await asyncio.sleep(0.005)
         assert told == []
         await store.join(TOPICS, member_id="b.1", generation=0)
-        ownership.renew_soon()
+        ownership.request_renewal()
         async with asyncio.timeout(3):
             while len(ownership.owned) == 8:
                 await asyncio.sleep(0.005)
         assert told[0] == 8
         given_up = [one for one in ownership._retired if one.retired]
         assert len(given_up) == 4
-        ownership.end_retired()
+        ownership.close_unused()
         assert ownership._retired == []
         await ownership.leave()
         await running
--- a/tests/gateway/turns/test_partition.py
+++ b/tests/gateway/turns/test_partition.py
@@ -54,7 +54,7 @@
     """
     async with make_platform_store(lose_writes=3) as store:
         owned = _own(store, 1)
-        await asyncio.gather(*[owned.keep(_record(number)) for number in range(20)])
+        await asyncio.gather(*[owned.append_durably(_record(number)) for number in range(20)])
 
         again = _own(store, 2)
         await again.ready_event.wait()
@@ -65,12 +65,12 @@
 async def test_an_old_owner_writes_nothing_more() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
-        await old.keep(_record(1))
+        await old.append_durably(_record(1))
         new = _own(store, 2)
         await new.ready_event.wait()
 
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(2))
+            await old.append_durably(_record(2))
         assert old.lost
         assert len(store.state.partition(*PARTITION).records) == 1
 
@@ -108,7 +108,7 @@
         await owned.ready_event.wait()
         asked = asyncio.create_task(owned.confirm())
         await asyncio.sleep(0)
-        owned.lose("leaving")
+        owned.mark_lost("leaving")
 
         with pytest.raises(LostPartitionError):
             await asked
@@ -121,14 +121,14 @@
         old = _own(store, 1)
         await old.ready_event.wait()
         old.retire("leaving")
-        await old.keep(_record(1))
-        assert await old.settle(_record(2), budget_tokens=100) is Settlement.KEPT
+        await old.append_durably(_record(1))
+        assert await old.settle(_record(2), budget_tokens=100) is Settlement.DURABLE
 
         new = _own(store, 2)
         await new.ready_event.wait()
         assert list(new.ledger.programs["p"].reserved) == ["t1", "t2"]
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(3))
+            await old.append_durably(_record(3))
         assert await old.settle(_record(4), budget_tokens=100) is Settlement.NOT_HERE
         assert not old.in_use
 
@@ -137,7 +137,7 @@
     async with make_platform_store() as store:
         owned = _own(store, 1)
         await owned.ready_event.wait()
-        with owned.turn_under_way():
+        with owned.turn_in_progress():
             owned.retire("leaving")
             assert owned.in_use
         assert not owned.in_use
@@ -150,7 +150,7 @@
 async def test_an_owner_that_is_given_up_while_it_reads_keeps_what_the_last_one_cannot() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
-        await old.keep(_record(1))
+        await old.append_durably(_record(1))
         store.knobs.delay_ms = 50
         new = _own(store, 2)
         partition = store.state.partition(*PARTITION)
@@ -158,12 +158,12 @@
             await asyncio.sleep(0.005)
         new.retire("reassigned")
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(2))
+            await old.append_durably(_record(2))
 
         settled = Settlement.NOT_HERE
         for _ in range(100):
             settled = await new.settle(_record(2), budget_tokens=100)
-            if settled is Settlement.KEPT:
+            if settled is Settlement.DURABLE:
                 break
             await asyncio.sleep(0.01)
-        assert settled is Settlement.KEPT
+        assert settled is Settlement.DURABLE
--- a/tests/gateway/turns/test_partition_walk.py
+++ b/tests/gateway/turns/test_partition_walk.py
@@ -10,7 +10,7 @@
 from quincespool.gateway.turns.ledger import Admission
 from quincespool.gateway.turns.ledger import Ledger
 from quincespool.gateway.turns.ledger import TurnStarted
-from quincespool.gateway.turns.uncertain import UncertainTokens
+from quincespool.gateway.turns.unrecorded_tokens import UnrecordedTokens
 from quincespool.policy.answer_times import AnswerTimes
 from tests.gateway.turns.partition_walk import PartitionWalk
 
@@ -64,7 +64,7 @@
 
     Events: two owners, one after the other, are lost with turns of which nothing lasts.
     """
-    monkeypatch.setattr(UncertainTokens, "inherit", lambda *_: None)
+    monkeypatch.setattr(UnrecordedTokens, "mark_inherited", lambda *_: None)
     with pytest.raises(AssertionError):
         for seed in RUNNING_ON_SEEDS:
             await PartitionWalk(seed, runs_on=True).run(STEPS)
@@ -92,7 +92,7 @@
     admits other turns of the program, then is handed the starts.
     Cause: they were kept whatever was left of the budget.
     """
-    monkeypatch.setattr(Ledger, "admit_again", lambda *_, **__: Admission.FINE)
+    monkeypatch.setattr(Ledger, "readmit", lambda *_, **__: Admission.ADMITTED)
     with pytest.raises(AssertionError):
         for seed in SEEDS:
             await PartitionWalk(seed).run(STEPS)
