--- a/src/quincespool/gateway/turns/ledger.py
+++ b/src/quincespool/gateway/turns/ledger.py
@@ -158,13 +158,13 @@
         """Returns the texts up to a turn, newest first; None if one of them is missing."""
         texts: list[bytes] = []
         while turn_id:
-            kept = self.turns.get(turn_id)
+            stored = self.turns.get(turn_id)
             # The store drops the oldest records first, so a later owner may have read a turn but
             # not the one before it. A caller that uses an id twice can make the chain a cycle.
-            if kept is None or len(texts) == len(self.turns):
+            if stored is None or len(texts) == len(self.turns):
                 return None
-            texts.append(kept.text)
-            turn_id = kept.previous_id
+            texts.append(stored.text)
+            turn_id = stored.previous_id
         return texts
 
     def extend_retention(self, at_ms: int, retention_ms: int) -> None:
@@ -271,8 +271,8 @@
         # None of them may extend the retention of the program.
         left_ms = program.kept_until_ms - at_ms
         records: list[Record] = [
-            HistoryPart(turn_id, program_id, kept.previous_id, kept.text, left_ms, at_ms)
-            for turn_id, kept in program.turns.items()
+            HistoryPart(turn_id, program_id, stored.previous_id, stored.text, left_ms, at_ms)
+            for turn_id, stored in program.turns.items()
         ]
         records.append(
             ProgramRenewed(
@@ -304,7 +304,7 @@
             `kept_until_ms` of a program. The wall clock alone is not enough: it may be set forward,
             and the record may carry the wall clock of another host.
         """
-        over = [
+        expired = [
             program_id
             for program_id, program in self.programs.items()
             if (
@@ -313,10 +313,10 @@
             )
             and program.kept_until_ms + grace_ms < now_ms
         ]
-        for program_id in over:
+        for program_id in expired:
             for turn_id in self.programs.pop(program_id).turns:
                 self._remove_turn(program_id, turn_id)
-        return len(over)
+        return len(expired)
 
     def _remove_turn(self, program_id: str, turn_id: str) -> None:
         programs = self._program_ids_by_turn.pop(turn_id, ())
--- a/src/quincespool/gateway/turns/ownership.py
+++ b/src/quincespool/gateway/turns/ownership.py
@@ -152,7 +152,7 @@
                 one.mark_lost("turns ended")
 
     def request_renewal(self) -> None:
-        """Renews the lease at once, since another daemon has reported a newer generation."""
+        """Has the lease renewed at once; for when another daemon reports a newer generation."""
         self._renewal_wanted.set()
 
     async def run(self) -> None:
--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -237,7 +237,7 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether turns are in progress or records wait to be appended."""
+        """Whether the partition is not lost and has turns in progress or waiting records."""
         return not self.lost and (self._open_turns > 0 or not self.idle)
 
     @contextlib.contextmanager
@@ -250,7 +250,7 @@
             self._open_turns -= 1
 
     def retire(self, reason: str) -> None:
-        """Accepts no new turns; records of turns in progress are written until another takeover.
+        """Stops accepting turns; records of open turns are written until another daemon takes over.
 
         Appends are fenced by the epoch, not by membership in the group of owners. There may be no
         other daemon to take over, and the next owner reads everything appended before its takeover.
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -1,7 +1,7 @@
-"""A random walk of real owners over one partition, in a store that misbehaves, beside an oracle.
+"""A random walk of real owners over one partition of a faulty store, checked by an oracle.
 
-The oracle knows what callers have got: the tokens handed out of each program, and the text of each
-turn that they were told is whole. Owners act at any time, also long after they were superseded.
+The oracle records what callers received: the tokens of each program, and the text of each turn that
+was reported as complete. Owners act at any time, even long after they were fenced.
 """
 
 from __future__ import annotations
@@ -41,26 +41,26 @@
 PARTITION = Partition("programs.0", 0)
 PROGRAMS = tuple(f"p{number}" for number in range(4))
 BUDGET_TOKENS = 400
-MOST_TOKENS = 30
+MAX_TOKENS = 30
 RETENTION_MS = 60_000
 MAX_OWNERS = 3
 MAX_TURNS = 8
-# Programs are replaced by new ones after this many steps, or all budgets would soon be spent.
+# Programs are replaced after this many steps, since all budgets would be spent soon otherwise.
 ROUND_STEPS = 400
 
 
 class Faults(NamedTuple):
-    """Shares of the store's requests that go wrong.
+    """Shares of the store's requests that fail.
 
     Attributes:
-      refused: Not done, and said so.
-      lost: Done at once, without an answer.
-      late: Done at some later time, without an answer.
+      refused: Answered with a refusal and not applied.
+      lost: Applied at once, without an answer.
+      delayed: Applied at some later time, without an answer.
     """
 
     refused: float = 0.05
     lost: float = 0.08
-    late: float = 0.08
+    delayed: float = 0.08
 
 
 class _Append(NamedTuple):
@@ -70,7 +70,7 @@
 
 
 class FaultyStore:
-    """One partition with the store's rules for writers; answers get lost, appends come late."""
+    """One partition with the store's rules for writers; answers get lost, appends are delayed."""
 
     def __init__(self, chance: random.Random, faults: Faults) -> None:
         self.refuses_all = False
@@ -81,7 +81,7 @@
         self._epoch = -1
         self._next_sequence: int | None = None
         self._ends: dict[int, int] = {}
-        self._late: list[_Append] = []
+        self._delayed: list[_Append] = []
 
     async def append(
         self, partition: Partition, records: list[bytes], *, epoch: int, sequence: int
@@ -93,18 +93,18 @@
         draw = self._chance.random()
         if self.refuses_all or draw < self._faults.refused:
             raise StoreError("refused", refused=True)
-        if draw < self._faults.refused + self._faults.late:
-            self._late.append(append)
+        if draw < self._faults.refused + self._faults.delayed:
+            self._delayed.append(append)
             raise StoreError("unanswered", refused=False)
-        if draw < self._faults.refused + self._faults.late + self._faults.lost:
-            self._apply_unheard(append)
+        if draw < self._faults.refused + self._faults.delayed + self._faults.lost:
+            self._apply_unanswered(append)
             raise StoreError("unanswered", refused=False)
         end = self._apply(append)
         await self._pause()
         return end
 
     async def read(self, partition: Partition, from_offset: int) -> Page:
-        """See `Store.read`; pages are short and may be old when they arrive."""
+        """See `Store.read`; pages are short and may be stale when they arrive."""
         del partition
         await self._pause()
         if self.refuses_all or self._chance.random() < self._faults.refused:
@@ -118,12 +118,12 @@
         return page
 
     def apply_late(self) -> None:
-        """Does one of the appends whose time has come."""
-        if self._late:
-            self._apply_unheard(self._late.pop(self._chance.randrange(len(self._late))))
+        """Applies one of the delayed appends, chosen at random."""
+        if self._delayed:
+            self._apply_unanswered(self._delayed.pop(self._chance.randrange(len(self._delayed))))
 
-    def forget(self) -> None:
-        """Deletes what has been kept for long enough."""
+    def delete_all(self) -> None:
+        """Deletes all records, as after their retention."""
         self._first_offset = self._end
         self._records.clear()
 
@@ -135,11 +135,11 @@
         for _ in range(self._chance.randint(0, 3)):
             await asyncio.sleep(0)
 
-    def _apply_unheard(self, append: _Append) -> None:
+    def _apply_unanswered(self, append: _Append) -> None:
         try:
             self._apply(append)
         except (FencedError, SequenceError):
-            # Nobody hears of it.
+            # The owner got no answer to this request.
             return
 
     def _apply(self, append: _Append) -> int:
@@ -161,7 +161,7 @@
 
 
 class _SingleCalls:
-    """Sends each request once, in the place of `HedgedCalls`."""
+    """Sends each request once, in place of `HedgedCalls`."""
 
     async def first(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
         return await call()
@@ -171,11 +171,15 @@
 
 
 class PartitionWalk:
-    """The walk; `steps` counts its actions.
+    """A random walk with checks.
 
-    With `runs_on`, owners hand tokens out while the store is away; then a budget may be exceeded by
-    one turn, as the next owner may never hear of these tokens. With `hedges`, copies of a request
-    race one another.
+    Attributes:
+      steps: Number of actions so far.
+      complete_answers: Number of turns that were reported as complete.
+      absent_answers: Number of turns that were reported as not existing.
+      unrecorded_turns: Number of turns that issued tokens before their start was durable.
+      retired_owners: Number of owners that were retired.
+      complete_after_retirement: Number of complete turns at retired owners.
     """
 
     def __init__(
@@ -183,35 +187,44 @@
         seed: int,
         faults: Faults | None = None,
         *,
-        runs_on: bool = False,
+        issues_unrecorded: bool = False,
         hedges: bool = False,
     ) -> None:
-        self._runs_on = runs_on
-        self._bound_tokens = BUDGET_TOKENS + (MOST_TOKENS if runs_on else 0)
+        """Prepares a walk.
+
+        Args:
+          seed: Seed of all random choices.
+          faults: Faults of the store.
+          issues_unrecorded: Whether owners issue tokens while the store is unreachable. A budget
+            may then be exceeded by one turn, as the next owner may never learn of these tokens.
+          hedges: Whether requests are hedged, so that copies of a request race one another.
+        """
+        self._issues_unrecorded = issues_unrecorded
+        self._bound_tokens = BUDGET_TOKENS + (MAX_TOKENS if issues_unrecorded else 0)
         self.steps = 0
-        self.told_whole = 0
-        self.said_absent = 0
-        self.uncertain = 0
-        self.left = 0
-        self.told_after_leaving = 0
+        self.complete_answers = 0
+        self.absent_answers = 0
+        self.unrecorded_turns = 0
+        self.retired_owners = 0
+        self.complete_after_retirement = 0
         self._chance = random.Random(seed)
         self._store = FaultyStore(self._chance, faults or Faults())
         self._owners: list[OwnedPartition] = []
         self._epoch = 0
         self._turns: set[asyncio.Task[None]] = set()
-        self._broken: BaseException | None = None
+        self._error: BaseException | None = None
         self._hedges = hedges
         self._hedged: HedgedCalls | _SingleCalls
         self._turn_count = 0
         self._round = 0
-        self._handed_out: dict[str, int] = {}
+        self._received_tokens: dict[str, int] = {}
         self._texts: dict[str, dict[str, bytes]] = {}
 
     async def run(self, steps: int) -> None:
-        """Takes so many steps.
+        """Takes a number of steps.
 
         Raises:
-          AssertionError: if a promise is broken.
+          AssertionError: if a promise to callers is broken.
         """
         self._hedged = HedgedCalls(on_hedge=lambda: None) if self._hedges else _SingleCalls()
         while self.steps < steps:
@@ -221,8 +234,8 @@
                 await self._end_round()
             for _ in range(self._chance.randint(0, 4)):
                 await asyncio.sleep(0)
-            if self._broken is not None:
-                raise self._broken
+            if self._error is not None:
+                raise self._error
         await self._end_round()
         for owned in self._owners:
             owned.mark_lost("over")
@@ -254,17 +267,17 @@
             self._owners.pop(0).mark_lost("killed")
 
     def _retire(self) -> None:
-        """Has the newest owner leave: it writes for its turns until somebody takes over."""
+        """Retires the newest owner: it writes records of its turns until another one takes over."""
         newest = self._owners[-1]
         if newest.ready and not newest.retired:
             newest.retire("leaves")
-            self.left += 1
+            self.retired_owners += 1
 
     def _spawn_turn(self) -> None:
         ready = [one for one in self._owners if one.ready and not one.retired]
         if not ready:
             return
-        # Mostly the newest; callers of a daemon that was superseded reach the old one.
+        # Mostly the newest; callers of a fenced daemon still reach the old one.
         owned = ready[-1] if self._chance.random() < 0.7 else self._chance.choice(ready)
         program = f"{self._chance.choice(PROGRAMS)}.{self._round}"
         self._turn_count += 1
@@ -275,109 +288,111 @@
 
     def _end_turn(self, task: asyncio.Task[None]) -> None:
         self._turns.discard(task)
-        self._broken = self._broken or task.exception()
+        self._error = self._error or task.exception()
 
     async def _turn(self, owned: OwnedPartition, program: str, turn: str) -> None:
-        whole = dict(self._texts.get(program, {}))
-        previous = self._chance.choice(["", *whole, "nonsense"])
+        complete = dict(self._texts.get(program, {}))
+        previous = self._chance.choice(["", *complete, "nonsense"])
         admission = owned.ledger.admit(
             program_id=program,
             previous_id=previous,
             budget_tokens=BUDGET_TOKENS,
-            max_tokens=MOST_TOKENS,
+            max_tokens=MAX_TOKENS,
         )
         if admission is not Admission.ADMITTED:
-            await self._refuse(owned, admission, previous, whole)
+            await self._refuse(owned, admission, previous, complete)
             return
         if previous:
-            assert owned.ledger.history(program, previous) == whole[previous]
-        start = TurnStarted(turn, program, MOST_TOKENS, 0)
-        uncertain = owned.unrecorded
-        may_defer = uncertain.is_allowed(program) and uncertain.is_fully_recorded(program)
-        defers = self._runs_on and not owned.stalled and may_defer
-        runs_on = self._runs_on and (owned.stalled or defers)
-        if not runs_on and not await self._keep(owned, start):
+            assert owned.ledger.history(program, previous) == complete[previous]
+        start = TurnStarted(turn, program, MAX_TOKENS, 0)
+        unrecorded = owned.unrecorded
+        may_defer = unrecorded.is_allowed(program) and unrecorded.is_fully_recorded(program)
+        defers = self._issues_unrecorded and not owned.stalled and may_defer
+        issues_unrecorded = self._issues_unrecorded and (owned.stalled or defers)
+        if not issues_unrecorded and not await self._append_durably(owned, start):
             return
-        tokens = self._chance.randint(0, MOST_TOKENS)
-        start_kept = None
-        if runs_on:
-            start_kept = self._begin_uncertain(owned, start, tokens, urgent=not defers)
-            if start_kept is None:
+        tokens = self._chance.randint(0, MAX_TOKENS)
+        start_durable = None
+        if issues_unrecorded:
+            start_durable = self._begin_unrecorded(owned, start, tokens, urgent=not defers)
+            if start_durable is None:
                 return
-        spent_tokens = self._handed_out.get(program, 0) + tokens
-        self._handed_out[program] = spent_tokens
+        spent_tokens = self._received_tokens.get(program, 0) + tokens
+        self._received_tokens[program] = spent_tokens
         assert spent_tokens <= self._bound_tokens
         await asyncio.sleep(0)
         if self._chance.random() < 0.2:
-            kept = owned.submit(TurnBroken(turn, program, tokens, 0))
-            if runs_on:
-                await self._settle_broken(start, TurnBroken(turn, program, tokens, 0), kept)
+            durable = owned.submit(TurnBroken(turn, program, tokens, 0))
+            if issues_unrecorded:
+                await self._settle_broken(start, TurnBroken(turn, program, tokens, 0), durable)
             return
         text = turn.encode()
         ended = TurnEnded(turn, program, previous, text, b"!", tokens, RETENTION_MS, 0)
-        # Handed over in this order, so that the end counts what the start has reserved.
-        ended_kept = owned.submit(ended)
-        if start_kept is not None and not await self._kept(start_kept, start, handed_out=True):
+        # Submitted in this order, so that the end releases what the start has reserved.
+        ended_durable = owned.submit(ended)
+        if start_durable is not None and not await self._await_durable(
+            start_durable, start, has_output=True
+        ):
             return
-        if await self._kept(ended_kept, ended):
-            self.told_whole += 1
-            self.told_after_leaving += owned.retired and not owned.lost
-            told = self._texts.setdefault(program, {})
-            told[turn] = whole.get(previous, b"") + text + b"!"
+        if await self._await_durable(ended_durable, ended):
+            self.complete_answers += 1
+            self.complete_after_retirement += owned.retired and not owned.lost
+            program_texts = self._texts.setdefault(program, {})
+            program_texts[turn] = complete.get(previous, b"") + text + b"!"
 
-    def _begin_uncertain(
+    def _begin_unrecorded(
         self, owned: OwnedPartition, start: TurnStarted, tokens: int, *, urgent: bool
     ) -> asyncio.Future[None] | None:
-        """Hands tokens out before the start is durable; returns its future, None if it may not."""
-        uncertain = owned.unrecorded
-        if not uncertain.may_start_turn(start.program_id, MOST_TOKENS):
+        """Issues tokens before the start is durable; returns its future, None if not allowed."""
+        unrecorded = owned.unrecorded
+        if not unrecorded.may_start_turn(start.program_id, MAX_TOKENS):
             return None
-        if not uncertain.try_issue(start.program_id, tokens, MOST_TOKENS):
+        if not unrecorded.try_issue(start.program_id, tokens, MAX_TOKENS):
             return None
-        self.uncertain += 1
+        self.unrecorded_turns += 1
         return owned.submit(start, urgent=urgent)
 
     async def _settle_broken(
-        self, start: TurnStarted, broken: TurnBroken, kept: asyncio.Future[None]
+        self, start: TurnStarted, broken: TurnBroken, durable: asyncio.Future[None]
     ) -> None:
         try:
-            await kept
+            await durable
         except LostPartitionError:
             newest = self._owners[-1]
-            if await self._keep(newest, start, handed_out=True):
-                await self._keep(newest, broken)
+            if await self._append_durably(newest, start, has_output=True):
+                await self._append_durably(newest, broken)
 
     async def _refuse(
-        self, owned: OwnedPartition, admission: Admission, previous: str, whole: dict[str, bytes]
+        self, owned: OwnedPartition, admission: Admission, previous: str, complete: dict[str, bytes]
     ) -> None:
         try:
             await owned.confirm()
         except (LostPartitionError, StoreError):
             return
         if admission is Admission.NO_SUCH_TURN:
-            self.said_absent += 1
-            assert previous not in whole
+            self.absent_answers += 1
+            assert previous not in complete
 
-    async def _keep(
-        self, owned: OwnedPartition, record: Record, *, handed_out: bool = False
+    async def _append_durably(
+        self, owned: OwnedPartition, record: Record, *, has_output: bool = False
     ) -> bool:
-        """Has a record kept, by the newest owner if the one that made it is shut out."""
-        return await self._kept(owned.submit(record), record, handed_out=handed_out)
+        """Appends a record, at the newest owner if its own one has lost the partition."""
+        return await self._await_durable(owned.submit(record), record, has_output=has_output)
 
-    async def _kept(
-        self, kept: asyncio.Future[None], record: Record, *, handed_out: bool = False
+    async def _await_durable(
+        self, durable: asyncio.Future[None], record: Record, *, has_output: bool = False
     ) -> bool:
         try:
-            await asyncio.shield(kept)
+            await asyncio.shield(durable)
         except LostPartitionError:
             newest = self._owners[-1]
-            budget_tokens = None if handed_out else BUDGET_TOKENS
+            budget_tokens = None if has_output else BUDGET_TOKENS
             settled = await newest.settle(record, budget_tokens=budget_tokens)
             return settled is Settlement.DURABLE
         return True
 
     async def _end_round(self) -> None:
-        """Lets everything come to rest; a new owner then has all that callers were told of."""
+        """Waits for all turns; a new owner must then have everything that callers were promised."""
         self._store.refuses_all = False
         self._take_over()
         newest = self._owners[-1]
@@ -391,4 +406,4 @@
         self._texts.clear()
         for owned in self._owners:
             owned.ledger.expire(10 * RETENTION_MS, grace_ms=0)
-        self._store.forget()
+        self._store.delete_all()
--- a/tests/gateway/turns/test_imported_histories.py
+++ b/tests/gateway/turns/test_imported_histories.py
@@ -1,4 +1,4 @@
-"""What follows a partition to its next owner: copied histories, and what turns have reserved."""
+"""State that the next owner of a partition must get: imported histories, and reserved tokens."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return cluster.nodes[node].daemon._ownership.owned
 
 
-async def test_a_turn_is_not_denied_by_an_owner_that_loses_its_partition_meanwhile(
+async def test_an_owner_that_loses_its_partition_during_a_lookup_does_not_answer_not_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with GatewayCluster() as cluster:
@@ -41,23 +41,23 @@
         finder = daemon._parts.finder
         find = finder.find
 
-        async def find_and_lose(turn_id: str, account: str) -> FoundTurn | None:
+        async def find_and_mark_lost(turn_id: str, account: str) -> FoundTurn | None:
             found = await find(turn_id, account)
             _owned(cluster, "a")[daemon._parts.relay._partition_for(here)].mark_lost("leaving")
             return found
 
-        monkeypatch.setattr(finder, "find", find_and_lose)
+        monkeypatch.setattr(finder, "find", find_and_mark_lost)
         _, reply = await cluster.turn("a", here, previous=first)
         assert reply.status == 503
 
 
-async def test_an_imported_history_is_kept_where_the_turn_after_it_is() -> None:
+async def test_an_imported_history_is_recorded_by_the_owner_that_records_the_next_turn() -> None:
     async with GatewayCluster() as cluster:
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.gap_ms = 500
         there, here = _program_of(cluster, "b"), _program_of(cluster, "a")
         first, _ = await cluster.turn("b", there, body=b"one|")
-        # Nothing of what follows is appended here, and the lease runs out with the turn under way.
+        # From here on this owner can't append, and its lease expires while the turn is in progress.
         cluster.nodes["a"].store.knobs.silent = True
         second, reply = await cluster.turn("a", here, previous=first, body=b"two|")
         assert reply.status == 200
@@ -78,7 +78,7 @@
         owned = _owned(cluster, "a")[daemon._parts.relay._partition_for(program)]
         submit = owned.submit
 
-        def submit_and_lose(record: Record, *, urgent: bool = True) -> asyncio.Future[None]:
+        def submit_and_mark_lost(record: Record, *, urgent: bool = True) -> asyncio.Future[None]:
             del urgent
             if isinstance(record, TurnBroken):
                 owned.mark_lost("fenced")
@@ -86,7 +86,7 @@
 
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.full = True
-        owned.submit = submit_and_lose  # type: ignore[method-assign]
+        owned.submit = submit_and_mark_lost  # type: ignore[method-assign]
         _, reply = await cluster.turn("a", program, budget=100, most=60)
         assert reply.status == 503
         for engine in ("e1", "e2"):
--- a/tests/gateway/turns/test_ledger_machine.py
+++ b/tests/gateway/turns/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""The ledger against an oracle: budgets hold and histories are whole, whoever reads the records."""
+"""The ledger against an oracle: every reader of the records gets budgets and histories right."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
     from quincespool.gateway.turns.ledger import Record
 
 BUDGET = 100
-MOST = 30
+MAX_TOKENS = 30
 PROGRAMS = ("p", "q")
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Turns start, hand out tokens and end; owners change; records come twice, or are dropped.
+    """Turns start, generate tokens and end; owners crash; records are duplicated or dropped.
 
-    The oracle knows what callers have got: tokens by program, and the text of each whole turn.
+    The oracle records what callers received: tokens by program and the text of each complete turn.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.ledger = Ledger()
         self.records: list[tuple[str, bytes]] = []
-        # From which record on each program stands in the log whole.
-        self.whole_from = dict.fromkeys(PROGRAMS, 0)
+        # Number of the first record of each program's latest snapshot.
+        self.snapshot_from = dict.fromkeys(PROGRAMS, 0)
         self.open: dict[str, tuple[str, str]] = {}
-        self.handed_out = dict.fromkeys(PROGRAMS, 0)
+        self.received_tokens = dict.fromkeys(PROGRAMS, 0)
         self.texts: dict[str, dict[str, bytes]] = {program: {} for program in PROGRAMS}
         self.count = 0
 
@@ -51,27 +51,27 @@
 
     @rule(program=st.sampled_from(PROGRAMS), pick=st.integers(0, 5))
     def start(self, program: str, pick: int) -> None:
-        whole = list(self.texts[program])
-        previous = whole[pick] if pick < len(whole) else ""
+        complete = list(self.texts[program])
+        previous = complete[pick] if pick < len(complete) else ""
         admission = self.ledger.admit(
-            program_id=program, previous_id=previous, budget_tokens=BUDGET, max_tokens=MOST
+            program_id=program, previous_id=previous, budget_tokens=BUDGET, max_tokens=MAX_TOKENS
         )
         if admission is not Admission.ADMITTED:
             assert admission is Admission.OVER_BUDGET
             return
         self.count += 1
         turn = f"t{self.count}"
-        self.write(TurnStarted(turn, program, MOST, 0))
+        self.write(TurnStarted(turn, program, MAX_TOKENS, 0))
         self.open[turn] = (program, previous)
 
     @precondition(lambda self: self.open)
-    @rule(tokens=st.integers(0, MOST), whole=st.booleans(), twice=st.booleans())
-    def end(self, tokens: int, whole: bool, twice: bool) -> None:
+    @rule(tokens=st.integers(0, MAX_TOKENS), complete=st.booleans(), twice=st.booleans())
+    def end(self, tokens: int, complete: bool, twice: bool) -> None:
         turn, (program, previous) = next(iter(self.open.items()))
         del self.open[turn]
-        self.handed_out[program] += tokens
+        self.received_tokens[program] += tokens
         record: Record
-        if whole:
+        if complete:
             text = turn.encode()
             record = TurnEnded(turn, program, previous, text, b"!", tokens, 60_000, 0)
             self.texts[program][turn] = self.texts[program].get(previous, b"") + text + b"!"
@@ -80,44 +80,44 @@
         for _ in range(1 + twice):
             self.write(record)
 
-    @rule(program=st.sampled_from(PROGRAMS), dies_after=st.one_of(st.none(), st.integers(0, 3)))
-    def renew(self, program: str, dies_after: int | None) -> None:
-        """The owner writes a program again, or dies while it does."""
+    @rule(program=st.sampled_from(PROGRAMS), crashes_after=st.one_of(st.none(), st.integers(0, 3)))
+    def renew(self, program: str, crashes_after: int | None) -> None:
+        """The owner writes a snapshot of a program, or crashes in the middle of it."""
         if program not in self.ledger.programs:
             return
         start = len(self.records)
-        renewed = self.ledger.renewal_records(program, 0)
-        for record in renewed[:dies_after]:
+        snapshot = self.ledger.renewal_records(program, 0)
+        for record in snapshot[:crashes_after]:
             self.write(record)
-        if dies_after is None or dies_after >= len(renewed):
-            self.whole_from[program] = start
+        if crashes_after is None or crashes_after >= len(snapshot):
+            self.snapshot_from[program] = start
 
     @precondition(lambda self: self.open)
     @rule(dropped=st.integers(0, 100))
-    def lose_owner(self, dropped: int) -> None:
-        """The owner dies: what its open turns have handed out nobody knows.
+    def crash_owner(self, dropped: int) -> None:
+        """The owner crashes; it is unknown how many tokens its open turns have generated.
 
-        The store has dropped some of the records that were written again.
+        The store has dropped some of the records that a snapshot replaces.
         """
         for program, _ in self.open.values():
-            self.handed_out[program] += MOST
+            self.received_tokens[program] += MAX_TOKENS
         self.open.clear()
         self.ledger = Ledger()
-        everything = Ledger()
+        full_ledger = Ledger()
         for number, (program, data) in enumerate(self.records):
-            everything.apply(decode_record(data))
-            if number >= min(dropped, self.whole_from[program]):
+            full_ledger.apply(decode_record(data))
+            if number >= min(dropped, self.snapshot_from[program]):
                 self.ledger.apply(decode_record(data))
-        assert _state(self.ledger) == _state(everything)
+        assert _state(self.ledger) == _state(full_ledger)
 
     @invariant()
     def budgets_hold(self) -> None:
         for program in PROGRAMS:
-            under_way = sum(MOST for one, _ in self.open.values() if one == program)
-            assert self.handed_out[program] + under_way <= BUDGET
+            open_tokens = sum(MAX_TOKENS for one, _ in self.open.values() if one == program)
+            assert self.received_tokens[program] + open_tokens <= BUDGET
 
     @invariant()
-    def histories_are_whole(self) -> None:
+    def histories_are_complete(self) -> None:
         for program, texts in self.texts.items():
             for turn, text in texts.items():
                 assert self.ledger.history(program, turn) == text
@@ -141,10 +141,10 @@
 
 
 def test_a_long_history_is_split_and_put_together() -> None:
-    """Symptom: one program's records stop for ever, and all of its partition's with them.
+    """Guards against a partition that can't append any more after an input larger than a record.
 
-    Events: an input larger than a record of the store.
-    Cause: the store refuses the record each time it is sent again.
+    The store refuses such a record each time it is retried, so neither it nor any later record of
+    the partition is ever appended.
     """
     text = bytes(range(256)) * 2_000
     ledger = Ledger()
@@ -155,7 +155,7 @@
     assert ledger.history("p", "t") == text
 
 
-def test_programs_are_forgotten_after_their_retention() -> None:
+def test_programs_expire_after_their_retention() -> None:
     ledger = Ledger()
     ledger.apply(TurnStarted("t", "p", 10, 0))
     ledger.apply(TurnEnded("t", "p", "", b"a", b"b", 5, 60_000, 1_000))
--- a/tests/gateway/turns/test_lost_histories.py
+++ b/tests/gateway/turns/test_lost_histories.py
@@ -1,4 +1,4 @@
-"""Histories of which the store has dropped the oldest records."""
+"""Histories whose oldest records the store has dropped, and how that is prevented."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
     from quincespool.gateway.turns.partition import OwnedPartition
 
 RECORDS_A_TURN = 2
-# The oldest end of a program that is kept for a second is forgotten after its grace.
+# Programs with a retention of one second that ended this long ago have expired.
 LONG_AGO_MS = 3_600_000
 
 
 def _drop_oldest(cluster: GatewayCluster, program: str) -> None:
-    """Has the store forget the first turn of a program that is alone in its partition."""
+    """Drops the first turn from the store of a program that is alone in its partition."""
     daemon = next(iter(cluster.nodes.values())).daemon
     partition = daemon._parts.relay._partition_for(program)
     cluster.state.partition(*partition).drop(RECORDS_A_TURN)
 
 
 async def _replace_all(cluster: GatewayCluster) -> None:
-    """All daemons die; a new one reads what the store has."""
+    """Crashes all daemons and starts a new one, which reads the records of the store."""
     for name in list(cluster.nodes):
         await cluster.lose_node(name)
     await cluster.add_node("h")
     await cluster.until(cluster.is_settled)
 
 
-async def test_a_turn_after_one_whose_record_is_gone_gets_an_answer() -> None:
+async def test_a_turn_with_a_dropped_record_in_its_history_is_answered_404() -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         second, _ = await cluster.turn("a", "p1", previous=first, body=b"two|")
@@ -57,22 +57,22 @@
         assert cluster.runs(third) == []
 
 
-async def test_a_history_with_a_missing_link_is_found_whole_in_another_program() -> None:
+async def test_an_incomplete_history_is_found_complete_in_another_program() -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         second, _ = await cluster.turn("a", "p1", previous=first, body=b"two|")
         copied, reply = await cluster.turn("a", "p2", previous=second, body=b"copied")
         assert reply.status == 200
-        whole = cluster.runs(copied)[0].removesuffix(b"copied")
+        complete = cluster.runs(copied)[0].removesuffix(b"copied")
         _drop_oldest(cluster, "p1")
         await _replace_all(cluster)
 
         third, reply = await cluster.turn("h", "p1", previous=second, body=b"three|")
         assert reply.status == 200
-        assert cluster.runs(third) == [whole + b"three|"]
+        assert cluster.runs(third) == [complete + b"three|"]
 
 
-async def test_a_search_passes_over_an_owner_whose_chain_has_a_missing_link() -> None:
+async def test_a_lookup_skips_an_owner_whose_history_is_incomplete() -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         second, _ = await cluster.turn("a", "p1", previous=first, body=b"two|")
@@ -86,7 +86,7 @@
         assert [reply.status for _, reply in answers] == [404] * 6
 
 
-def test_a_turn_that_names_itself_does_not_hang_its_owner() -> None:
+def test_a_turn_that_continues_itself_does_not_hang_its_owner() -> None:
     ledger = Ledger()
     for previous in ("", "t"):
         ledger.apply(TurnEnded("t", "p", previous, b"a", b"b", 5, 60_000, 0))
@@ -95,7 +95,7 @@
     assert ledger.history("p", "t") is None
 
 
-async def test_a_program_that_outlives_the_store_keeps_its_history_and_its_budget() -> None:
+async def test_a_program_older_than_the_store_retention_keeps_its_history_and_budget() -> None:
     async with GatewayCluster(store_retention_s=6) as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|", budget=75)
         second, _ = await cluster.turn("a", "p1", previous=first, body=b"two|", budget=75)
@@ -111,11 +111,11 @@
             b"".join(f"{turn}.{number}\n".encode() for number in (1, 2, 3))
             for turn in (first, second)
         ]
-        whole = b"one|" + outputs[0] + b"two|" + outputs[1]
-        assert cluster.runs(third) == [whole + b"three|"]
+        complete = b"one|" + outputs[0] + b"two|" + outputs[1]
+        assert cluster.runs(third) == [complete + b"three|"]
 
 
-async def test_all_programs_that_are_due_together_are_written_again() -> None:
+async def test_all_programs_that_are_due_together_are_renewed() -> None:
     async with GatewayCluster(store_retention_s=6) as cluster:
         programs = [f"p{number}" for number in range(40)]
         turns = [cluster.turn("ab"[number % 2], one) for number, one in enumerate(programs)]
@@ -131,18 +131,18 @@
         assert [reply.status for _, reply in answers] == [200] * 40
 
 
-async def test_programs_that_the_store_outlives_are_not_written_again() -> None:
+async def test_programs_that_end_within_the_store_retention_are_not_renewed() -> None:
     async with GatewayCluster(store_retention_s=5) as cluster:
         cluster.configure(2, retention_s=1.0)
         await asyncio.sleep(0.5)
         await cluster.turn("a", "p1")
         appends = cluster.state.calls_to["/log-append"]
-        # Past the age at which a program that lives on is written again.
+        # Past the age at which a program that can still be continued is renewed.
         await asyncio.sleep(4.5)
         assert cluster.state.calls_to["/log-append"] == appends
 
 
-async def test_a_program_is_written_again_with_its_open_turn() -> None:
+async def test_a_program_is_renewed_with_its_open_turn() -> None:
     async with GatewayCluster(1, store_retention_s=6) as cluster:
         first, _ = await cluster.turn("a", "p1", budget=130)
         owned = next(
@@ -177,7 +177,7 @@
     return TurnEnded(f"old-{number}", "p1", "", bytes(100_000), b"", 0, 1_000, ended_ms)
 
 
-async def test_a_store_without_room_gets_some_by_trimming_and_loses_nothing_needed(
+async def test_trimming_frees_space_in_a_full_store_and_deletes_nothing_needed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upkeep, "LEDGER_GRACE_MS", 0)
@@ -199,7 +199,7 @@
             assert reply.status == 200
 
 
-async def test_an_owner_shut_out_trims_nothing() -> None:
+async def test_a_fenced_owner_trims_nothing() -> None:
     async with GatewayCluster() as cluster:
         owned = _owned(cluster, "p1")
         await asyncio.gather(*[owned.append_durably(_old_turn(number)) for number in range(5)])
@@ -213,7 +213,7 @@
         assert cluster.state.calls_to["/log-trim"] == 0
 
 
-async def test_a_clock_that_steps_forward_forgets_no_program(
+async def test_a_wall_clock_that_is_set_forward_expires_no_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with GatewayCluster() as cluster:
@@ -224,23 +224,23 @@
         assert reply.status == 200
 
 
-async def test_programs_are_forgotten_when_both_clocks_say_so() -> None:
+async def test_programs_expire_by_both_clocks() -> None:
     async with GatewayCluster() as cluster:
         await cluster.turn("a", "p1")
         owned = _owned(cluster, "p1")
         began_ms = now_ms()
-        for passed_ms, is_kept in ((0, True), (60_999, True), (61_000, False)):
+        for passed_ms, is_present in ((0, True), (60_999, True), (61_000, False)):
             later_ms = wall_ms() + 70_000
             owned.expire(later_ms, steady_ms=began_ms + passed_ms, grace_ms=1_000)
-            assert ("p1" in owned.ledger.programs) == is_kept
+            assert ("p1" in owned.ledger.programs) == is_present
 
 
-@pytest.mark.parametrize("whole_turns", [0, 1])
+@pytest.mark.parametrize("complete_turns", [0, 1])
 async def test_a_budget_holds_for_as_long_as_a_stopped_program_may_come_back(
-    whole_turns: int,
+    complete_turns: int,
 ) -> None:
     async with GatewayCluster() as cluster:
-        for _ in range(whole_turns):
+        for _ in range(complete_turns):
             await cluster.turn("a", "p1", budget=70)
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.cut_after = 2
@@ -257,7 +257,9 @@
         assert reply.status == 402
 
 
-async def test_a_turn_found_while_its_owner_loses_the_partition_is_not_denied() -> None:
+async def test_a_turn_that_is_found_while_its_owner_loses_the_partition_is_not_answered_404() -> (
+    None
+):
     async with GatewayCluster(1) as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         finder = cluster.nodes["a"].daemon._parts.finder
@@ -275,7 +277,7 @@
 
 
 @pytest.mark.parametrize("input_bytes", [10, 450_000])
-async def test_a_turn_kept_by_the_next_owner_has_what_was_said_before_it(input_bytes: int) -> None:
+async def test_a_turn_recorded_by_the_next_owner_has_its_complete_history(input_bytes: int) -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         program = next(f"q{n}" for n in range(100) if _owned(cluster, f"q{n}") in _of(cluster, "a"))
@@ -290,11 +292,11 @@
         finder.find = find_last  # type: ignore[method-assign]
         second, reply = await cluster.turn("b", program, previous=first, body=bytes(input_bytes))
         assert reply.status == 200
-        whole = cluster.runs(second)[0]
+        complete = cluster.runs(second)[0]
 
         third, reply = await cluster.turn("b", program, previous=second, body=b"three|")
         assert reply.status == 200
-        assert cluster.runs(third)[0].startswith(whole)
+        assert cluster.runs(third)[0].startswith(complete)
 
 
 async def test_an_answer_longer_than_a_record_does_not_stop_its_partition() -> None:
@@ -310,7 +312,7 @@
         assert cluster.runs(second) == [b"one|" + b"".join(outputs) + b"two|"]
 
 
-async def test_a_renewal_that_was_not_kept_is_not_handed_to_the_next_owner() -> None:
+async def test_a_renewal_that_was_not_durable_is_not_passed_to_the_next_owner() -> None:
     async with GatewayCluster() as cluster:
         await cluster.turn("a", "p1")
         owned = _owned(cluster, "p1")
@@ -325,7 +327,7 @@
         assert owned.unconfirmed_history("p2") == []
 
 
-def test_the_log_is_needed_from_the_oldest_program_or_unreadable_record_on() -> None:
+def test_records_from_the_oldest_program_or_unreadable_record_on_are_not_trimmed() -> None:
     extent = LogExtent()
     for offset, program in enumerate(("p", "q", "p", "p", "q")):
         extent.add_record(offset, program, 60_000)
--- a/tests/gateway/turns/test_ownership.py
+++ b/tests/gateway/turns/test_ownership.py
@@ -1,4 +1,4 @@
-"""What an owner does with partitions that it gives up."""
+"""Partitions that an owner gives up."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LEASE_MS = 300
 
 
-def _make_ownership(store: PlatformStore, tell_claims: Callable[[], None]) -> Ownership:
+def _make_ownership(store: PlatformStore, announce_claims: Callable[[], None]) -> Ownership:
     def forget_lost(owned: OwnedPartition, detail: str) -> None:
         del detail
         if owned.lost:
@@ -35,13 +35,13 @@
         store_reachable=lambda: True,
         on_change=forget_lost,
         on_assignment=lambda generation, count: None,
-        announce_claims=tell_claims,
+        announce_claims=announce_claims,
     )
     return ownership
 
 
-async def test_claims_are_told_before_a_partition_that_was_just_taken_is_given_up() -> None:
-    told: list[int] = []
+async def test_claims_are_announced_before_a_recently_taken_partition_is_given_up() -> None:
+    announced: list[int] = []
     async with make_platform_store() as stand_in:
         store = PlatformStore(
             address=stand_in.address,
@@ -50,18 +50,18 @@
             partition_count=8,
             on_call=lambda path, status: None,
         )
-        ownership = _make_ownership(store, lambda: told.append(len(ownership.owned)))
+        ownership = _make_ownership(store, lambda: announced.append(len(ownership.owned)))
         running = asyncio.create_task(ownership.run())
         async with asyncio.timeout(3):
             while sum(one.ready for one in ownership.owned.values()) < 8:
                 await asyncio.sleep(0.005)
-        assert told == []
+        assert announced == []
         await store.join(TOPICS, member_id="b.1", generation=0)
         ownership.request_renewal()
         async with asyncio.timeout(3):
             while len(ownership.owned) == 8:
                 await asyncio.sleep(0.005)
-        assert told[0] == 8
+        assert announced[0] == 8
         given_up = [one for one in ownership._retired if one.retired]
         assert len(given_up) == 4
         ownership.close_unused()
--- a/tests/gateway/turns/test_partition.py
+++ b/tests/gateway/turns/test_partition.py
@@ -1,4 +1,4 @@
-"""The one writer to a partition: order, fencing, lost answers."""
+"""The single writer of a partition: order, fencing, lost answers."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
     return TurnStarted(f"t{number}", "p", 10, 0)
 
 
-async def test_records_stand_in_order_and_once() -> None:
-    """Symptom: a program's records twice in the log.
+async def test_records_are_appended_in_order_and_once() -> None:
+    """Guards against duplicate records of a program in the log.
 
-    Events: answers of the store are lost after the append was done.
-    Cause: an append without an answer must be repeated under the same number.
+    Answers of the store are lost after the append was done. An append without an answer must be
+    retried under the same sequence number.
     """
     async with make_platform_store(lose_writes=3) as store:
         owned = _own(store, 1)
@@ -62,7 +62,7 @@
         assert len(store.state.partition(*PARTITION).records) == 20
 
 
-async def test_an_old_owner_writes_nothing_more() -> None:
+async def test_a_fenced_owner_appends_nothing_more() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
         await old.append_durably(_record(1))
@@ -75,7 +75,7 @@
         assert len(store.state.partition(*PARTITION).records) == 1
 
 
-async def test_an_old_owner_cannot_confirm_itself() -> None:
+async def test_a_fenced_owner_cannot_confirm_its_ownership() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
         await old.ready_event.wait()
@@ -87,11 +87,11 @@
             await old.confirm()
 
 
-async def test_many_confirmations_share_requests() -> None:
-    """Symptom: the store refuses requests beyond its rate after all hosts have come back.
+async def test_concurrent_confirmations_share_requests() -> None:
+    """Guards against exceeding the store's request rate after all hosts have restarted.
 
-    Events: many programs look for turns at once; each owner confirms each partition each time.
-    Cause: a request to the store for every question.
+    Many programs look up turns at once, and each owner confirms each of its partitions for every
+    lookup. The store refuses requests beyond its rate if each confirmation sends one of its own.
     """
     async with make_platform_store() as store:
         owned = _own(store, 1)
@@ -102,7 +102,7 @@
         assert store.state.calls - before <= 2
 
 
-async def test_a_partition_that_was_lost_here_confirms_nothing_though_nobody_has_it() -> None:
+async def test_a_lost_partition_is_not_confirmed_though_no_other_daemon_owns_it() -> None:
     async with make_platform_store() as store:
         owned = _own(store, 1)
         await owned.ready_event.wait()
@@ -116,7 +116,7 @@
             await owned.confirm()
 
 
-async def test_an_owner_that_was_given_up_writes_until_another_one_has_taken_over() -> None:
+async def test_a_retired_partition_is_written_until_another_daemon_takes_over() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
         await old.ready_event.wait()
@@ -133,7 +133,7 @@
         assert not old.in_use
 
 
-async def test_an_owner_that_was_given_up_is_needed_while_a_turn_is_under_way() -> None:
+async def test_a_retired_partition_is_in_use_while_a_turn_is_in_progress() -> None:
     async with make_platform_store() as store:
         owned = _own(store, 1)
         await owned.ready_event.wait()
@@ -141,9 +141,9 @@
             owned.retire("leaving")
             assert owned.in_use
         assert not owned.in_use
-        kept = owned.submit(_record(1))
+        durable = owned.submit(_record(1))
         assert owned.in_use
-        await kept
+        await durable
         assert not owned.in_use
 
 
--- a/tests/gateway/turns/test_partition_walk.py
+++ b/tests/gateway/turns/test_partition_walk.py
@@ -1,4 +1,4 @@
-"""Real owners over a store that loses answers and applies appends late: what callers see holds."""
+"""Real owners over a store that loses answers and delays appends: promises to callers hold."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from quincespool.policy.answer_times import AnswerTimes
 from tests.gateway.turns.partition_walk import PartitionWalk
 
-# A million steps are walked by hand: QUINCESPOOL_WALK_STEPS=1000000.
+# For a longer walk by hand, such as a million steps: QUINCESPOOL_WALK_STEPS=1000000.
 STEPS = int(os.environ.get("QUINCESPOOL_WALK_STEPS", "4000"))
-# Of these, 9, 134 and 196 once handed out more than the budget: an owner took a start over that it
-# had not admitted, after it had given the rest of the budget to other turns.
+# Seeds 9, 134 and 196 exceed the budget if an owner accepts the start of a turn that it has not
+# admitted after it has allocated the rest of the budget to other turns.
 SEEDS = (1, 2, 3, 9, 134, 196)
-# With turns that run on while the store is away, 20, 33 and 45 go beyond budget and one turn if any
-# program may have such turns at any owner.
+# With turns that continue while the store is unreachable, seeds 20, 33 and 45 exceed budget and one
+# turn if any program may have such turns at any owner.
 RUNNING_ON_SEEDS = (1, 2, 20, 33, 45)
 
 
@@ -31,47 +31,49 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_what_callers_were_told_holds(seed: int) -> None:
+async def test_promises_to_callers_hold(seed: int) -> None:
     walk = PartitionWalk(seed)
     await walk.run(STEPS)
-    assert walk.told_whole > STEPS / 100
-    assert walk.said_absent
-    assert walk.told_after_leaving
+    assert walk.complete_answers > STEPS / 100
+    assert walk.absent_answers
+    assert walk.complete_after_retirement
 
 
 @pytest.mark.parametrize("seed", RUNNING_ON_SEEDS)
-async def test_it_holds_with_turns_that_run_on_while_the_store_is_away(seed: int) -> None:
-    walk = PartitionWalk(seed, runs_on=True)
+async def test_they_hold_with_turns_that_continue_while_the_store_is_unreachable(seed: int) -> None:
+    walk = PartitionWalk(seed, issues_unrecorded=True)
     await walk.run(STEPS)
-    assert walk.told_whole > STEPS / 100
-    assert walk.uncertain
+    assert walk.complete_answers > STEPS / 100
+    assert walk.unrecorded_turns
 
 
-@pytest.mark.parametrize("runs_on", [False, True])
-async def test_it_holds_while_copies_of_a_request_race(
-    monkeypatch: pytest.MonkeyPatch, *, runs_on: bool
+@pytest.mark.parametrize("issues_unrecorded", [False, True])
+async def test_they_hold_with_hedged_requests(
+    monkeypatch: pytest.MonkeyPatch, *, issues_unrecorded: bool
 ) -> None:
-    """Each request is sent again before its first copy can be answered, three copies at a time."""
+    """Each request is sent in three copies, before the first one can be answered."""
     monkeypatch.setattr(AnswerTimes, "wait_ms", lambda *_: 0)
     for seed in range(1, 4):
-        walk = PartitionWalk(seed, runs_on=runs_on, hedges=True)
+        walk = PartitionWalk(seed, issues_unrecorded=issues_unrecorded, hedges=True)
         await walk.run(STEPS // 2)
-        assert walk.told_whole > STEPS / 200
+        assert walk.complete_answers > STEPS / 200
 
 
-async def test_the_walk_notices_such_turns_at_two_owners(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: a program gets more tokens than its budget and one turn.
+async def test_the_walk_detects_unrecorded_turns_at_two_owners(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a program getting more tokens than its budget and one turn.
 
-    Events: two owners, one after the other, are lost with turns of which nothing lasts.
+    Two owners crash one after the other, each with turns that have no durable record.
     """
     monkeypatch.setattr(UnrecordedTokens, "mark_inherited", lambda *_: None)
     with pytest.raises(AssertionError):
         for seed in RUNNING_ON_SEEDS:
-            await PartitionWalk(seed, runs_on=True).run(STEPS)
+            await PartitionWalk(seed, issues_unrecorded=True).run(STEPS)
 
 
-async def test_the_walk_notices_starts_that_do_not_count(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A ledger without reservations hands out more than the budget; the walk must see it."""
+async def test_the_walk_detects_missing_reservations(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A ledger without reservations exceeds the budget; the walk must detect that."""
     apply = Ledger.apply
 
     def without_starts(ledger: Ledger, record: object) -> None:
@@ -85,12 +87,14 @@
             await PartitionWalk(seed).run(STEPS)
 
 
-async def test_the_walk_notices_starts_taken_over_unseen(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: a program gets more tokens than its budget and one turn.
+async def test_the_walk_detects_starts_accepted_without_a_check_of_the_budget(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a program getting more tokens than its budget and one turn.
 
-    Events: a partition changes hands while turns wait for their starts to be durable; the new owner
-    admits other turns of the program, then is handed the starts.
-    Cause: they were kept whatever was left of the budget.
+    A partition changes its owner while turns wait for their starts to be durable. The new owner
+    admits other turns of the program, then gets the starts and must not append them without
+    checking the remaining budget.
     """
     monkeypatch.setattr(Ledger, "readmit", lambda *_, **__: Admission.ADMITTED)
     with pytest.raises(AssertionError):
@@ -98,10 +102,10 @@
             await PartitionWalk(seed).run(STEPS)
 
 
-async def test_the_walk_notices_an_owner_that_does_not_shut_out_the_last(
+async def test_the_walk_detects_an_owner_that_does_not_fence_the_previous_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An owner that reads before its empty append misses what the last one still writes."""
+    """An owner that reads without an empty append misses later records of the previous one."""
 
     async def read_only(owned: partition.OwnedPartition) -> None:
         offset = 0
--- a/tests/gateway/turns/test_unrecorded_tokens.py
+++ b/tests/gateway/turns/test_unrecorded_tokens.py
@@ -1,60 +1,60 @@
-"""Tokens that no durable record tells of."""
+"""Tokens that no durable record accounts for."""
 
 from __future__ import annotations
 
 from quincespool.gateway.turns.unrecorded_tokens import UnrecordedTokens
 
-MOST = 30
+MAX_TOKENS = 30
 
 
-def _uncertain(*begun: str) -> UnrecordedTokens:
-    uncertain = UnrecordedTokens()
+def _make_unrecorded(*begun: str) -> UnrecordedTokens:
+    unrecorded = UnrecordedTokens()
     for program_id in begun:
-        uncertain.mark_recorded(program_id)
-    return uncertain
+        unrecorded.mark_recorded(program_id)
+    return unrecorded
 
 
-def test_a_program_gets_no_more_than_one_turn_may_generate() -> None:
-    uncertain = _uncertain("p", "q")
-    assert uncertain.try_issue("p", 20, MOST)
-    assert not uncertain.try_issue("p", 11, MOST)
-    assert uncertain.try_issue("p", 10, MOST)
-    assert uncertain.try_issue("q", MOST, MOST)
+def test_unrecorded_tokens_of_a_program_are_limited_to_one_turn() -> None:
+    unrecorded = _make_unrecorded("p", "q")
+    assert unrecorded.try_issue("p", 20, MAX_TOKENS)
+    assert not unrecorded.try_issue("p", 11, MAX_TOKENS)
+    assert unrecorded.try_issue("p", 10, MAX_TOKENS)
+    assert unrecorded.try_issue("q", MAX_TOKENS, MAX_TOKENS)
 
-    uncertain.mark_all_recorded(["q"])
-    assert not uncertain.try_issue("p", 1, MOST)
-    uncertain.mark_all_recorded(["p"])
-    assert uncertain.is_fully_recorded("p")
-    assert uncertain.try_issue("p", MOST, MOST)
+    unrecorded.mark_all_recorded(["q"])
+    assert not unrecorded.try_issue("p", 1, MAX_TOKENS)
+    unrecorded.mark_all_recorded(["p"])
+    assert unrecorded.is_fully_recorded("p")
+    assert unrecorded.try_issue("p", MAX_TOKENS, MAX_TOKENS)
 
 
-def test_no_more_turns_begin_than_can_be_expected_to_end_within_the_bound() -> None:
-    uncertain = _uncertain("p")
+def test_no_more_turns_start_than_are_expected_to_end_within_the_bound() -> None:
+    unrecorded = _make_unrecorded("p")
     for _ in range(3):
-        assert uncertain.may_start_turn("p", MOST)
-        uncertain.start_turn("p")
-    assert not uncertain.may_start_turn("p", MOST)
+        assert unrecorded.may_start_turn("p", MAX_TOKENS)
+        unrecorded.start_turn("p")
+    assert not unrecorded.may_start_turn("p", MAX_TOKENS)
 
-    uncertain.end_turn("p")
-    assert uncertain.may_start_turn("p", MOST)
-    assert uncertain.try_issue("p", 11, MOST)
-    assert not uncertain.may_start_turn("p", MOST)
+    unrecorded.end_turn("p")
+    assert unrecorded.may_start_turn("p", MAX_TOKENS)
+    assert unrecorded.try_issue("p", 11, MAX_TOKENS)
+    assert not unrecorded.may_start_turn("p", MAX_TOKENS)
 
 
-def test_only_programs_that_began_here_and_last_get_any() -> None:
-    """Symptom: a program gets more tokens than its budget and one turn.
+def test_only_recorded_programs_that_began_at_this_owner_get_unrecorded_tokens() -> None:
+    """Guards against a program getting more tokens than its budget and one turn.
 
-    Events: two owners, one after the other, are lost while the store is away.
-    Cause: each had handed out a turn of which the next one knew nothing.
+    Two owners crash one after the other while the store is unreachable, each after a turn of which
+    the next owner has no record.
     """
-    uncertain = UnrecordedTokens()
-    uncertain.mark_inherited(["old"])
-    uncertain.mark_recorded("old")
-    assert not uncertain.may_start_turn("old", MOST)
-    assert not uncertain.try_issue("old", 1, MOST)
-    assert not uncertain.may_start_turn("unknown", MOST)
-
-    uncertain.mark_recorded("new")
-    assert uncertain.may_start_turn("new", MOST)
-    uncertain.retain_only(["old"])
-    assert not uncertain.may_start_turn("new", MOST)
+    unrecorded = UnrecordedTokens()
+    unrecorded.mark_inherited(["old"])
+    unrecorded.mark_recorded("old")
+    assert not unrecorded.may_start_turn("old", MAX_TOKENS)
+    assert not unrecorded.try_issue("old", 1, MAX_TOKENS)
+    assert not unrecorded.may_start_turn("unknown", MAX_TOKENS)
+
+    unrecorded.mark_recorded("new")
+    assert unrecorded.may_start_turn("new", MAX_TOKENS)
+    unrecorded.retain_only(["old"])
+    assert not unrecorded.may_start_turn("new", MAX_TOKENS)
