--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -18,13 +18,13 @@
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.model import not_run
 from quincespool.gateway.turns.event_stream import EventReader
-from quincespool.gateway.turns.next_run import Place
-from quincespool.gateway.turns.next_run import Tried
-from quincespool.gateway.turns.next_run import TurnTries
 from quincespool.gateway.turns.stream_progress import GapError
 from quincespool.gateway.turns.stream_progress import StreamProgress
 from quincespool.gateway.turns.turn_records import BrokenTurnError
 from quincespool.gateway.turns.turn_records import TurnRecords
+from quincespool.gateway.turns.turn_retries import Place
+from quincespool.gateway.turns.turn_retries import Tried
+from quincespool.gateway.turns.turn_retries import TurnTries
 from quincespool.policy.urgency import turn_priority
 
 if TYPE_CHECKING:
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quincespool.gateway.turns.next_run import MAX_LOST_RUNS
+from quincespool.gateway.turns.turn_retries import MAX_LOST_RUNS
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 from tests.support.client import fetch
--- a/tests/gateway/turns/test_turn_retries.py
+++ b/tests/gateway/turns/test_turn_retries.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from quincespool.gateway.turns.next_run import FULL_PAUSES_MS
-from quincespool.gateway.turns.next_run import LEAST_LEFT_MS
-from quincespool.gateway.turns.next_run import MAX_LOST_RUNS
-from quincespool.gateway.turns.next_run import MAX_REFUSALS
-from quincespool.gateway.turns.next_run import NextRun
-from quincespool.gateway.turns.next_run import Place
-from quincespool.gateway.turns.next_run import Tried
-from quincespool.gateway.turns.next_run import TurnTries
+from quincespool.gateway.turns.turn_retries import FULL_PAUSES_MS
+from quincespool.gateway.turns.turn_retries import LEAST_LEFT_MS
+from quincespool.gateway.turns.turn_retries import MAX_LOST_RUNS
+from quincespool.gateway.turns.turn_retries import MAX_REFUSALS
+from quincespool.gateway.turns.turn_retries import NextRun
+from quincespool.gateway.turns.turn_retries import Place
+from quincespool.gateway.turns.turn_retries import Tried
+from quincespool.gateway.turns.turn_retries import TurnTries
 
 LEFT_MS = 2_000
 
