--- a/src/quincespool/gateway/turns/__init__.py
+++ b/src/quincespool/gateway/turns/__init__.py
@@ -1,1 +1,1 @@
-"""Turns of programs: owners, records, relay between daemons, histories and budgets."""
+"""Turns of programs: partition ownership, records, relay to owners, histories and budgets."""
--- a/src/quincespool/gateway/turns/admission.py
+++ b/src/quincespool/gateway/turns/admission.py
@@ -1,4 +1,7 @@
-"""Lets new programs begin while engines leave them time; `quincespool.policy.admission` decides."""
+"""Admits new programs if engines are expected to finish them in time.
+
+`quincespool.policy.admission` makes the decision.
+"""
 
 from __future__ import annotations
 
@@ -22,40 +25,51 @@
 
 
 class ProgramAdmission(Protocol):
-    """Says which programs may begin, and is told how their turns fare."""
+    """Decides which programs may start; receives how long their turns wait for engines."""
+
+    def refuse(self, call: Call, parameters: TurnTerms, ledger: Ledger) -> Refusal | None:
+        """Returns the refusal of a turn, None if the turn may run.
+
+        Only the first turn of a program may be refused.
+        """
+
+    def record_start(self, parameters: TurnTerms, took_ms: float) -> None:
+        """Records how long a turn took until an engine began to answer it.
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
-        """Returns the refusal of a program's first turn, None if the turn may run."""
+        Args:
+          parameters: Of the turn.
+          took_ms: Milliseconds from the turn's start at its owner to the head of the answer.
+        """
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
-        """Takes in how long a turn took from its owner to its first event."""
+    def record_full(self, parameters: TurnTerms) -> None:
+        """Records that all engines refused a turn because they were full."""
 
-    def note_full(self, terms: TurnTerms) -> None:
-        """Takes in that no engine took a turn."""
+    def update_estimates(self) -> None:
+        """Updates the estimates of how many turns a program has, from those that have ended.
 
-    def learn(self) -> None:
-        """Learns from programs that are over; to be called every few seconds."""
+        To be called every few seconds.
+        """
 
     def dump(self) -> dict[str, float]:
-        """Returns the expected waits, for people to read."""
+        """Returns the expected waiting times, for diagnosis."""
 
 
-class OpenAdmission:
-    """Lets every program begin."""
+class UnlimitedAdmission:
+    """Admits every program."""
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
+    def refuse(self, call: Call, parameters: TurnTerms, ledger: Ledger) -> Refusal | None:
         """See `ProgramAdmission.refuse`."""
-        del call, terms, ledger
+        del call, parameters, ledger
         return None
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
-        """See `ProgramAdmission.note_begin`."""
+    def record_start(self, parameters: TurnTerms, took_ms: float) -> None:
+        """See `ProgramAdmission.record_start`."""
 
-    def note_full(self, terms: TurnTerms) -> None:
-        """See `ProgramAdmission.note_full`."""
+    def record_full(self, parameters: TurnTerms) -> None:
+        """See `ProgramAdmission.record_full`."""
 
-    def learn(self) -> None:
-        """See `ProgramAdmission.learn`."""
+    def update_estimates(self) -> None:
+        """See `ProgramAdmission.update_estimates`."""
 
     def dump(self) -> dict[str, float]:
         """See `ProgramAdmission.dump`."""
@@ -63,43 +77,43 @@
 
 
 class ControlledAdmission:
-    """Refuses programs that can't end in time, at their first turn and at once."""
+    """Refuses programs that can't end in time, with their first turn and without any wait."""
 
     def __init__(self, *, log: DecisionLog, metrics: Metrics) -> None:
         self._control = AdmissionControl()
         self._log = log
         self._metrics = metrics
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
+    def refuse(self, call: Call, parameters: TurnTerms, ledger: Ledger) -> Refusal | None:
         """See `ProgramAdmission.refuse`."""
         turn = call.turn
         assert turn is not None
         at_ms = now_ms()
-        kind = ProgramKind(terms.route, terms.rank)
-        has_begun = bool(turn.previous_id) or turn.program_id in ledger.programs
-        if not has_begun and turn.program_left_ms is not None:
-            left_ms, is_pressed = turn.program_left_ms, terms.is_pressed
-            program = NewProgram(terms.service, kind, left_ms, is_pressed)
+        kind = ProgramKind(parameters.route, parameters.rank)
+        has_started = bool(turn.previous_id) or turn.program_id in ledger.programs
+        if not has_started and turn.program_left_ms is not None:
+            left_ms, is_pressed = turn.program_left_ms, parameters.is_pressed
+            program = NewProgram(parameters.service, kind, left_ms, is_pressed)
             rejection = self._control.reject(program, at_ms)
             if rejection is not None:
-                self._note_rejection(call, terms, program, rejection)
+                self._report_rejection(call, parameters, program, rejection)
                 return not_run("overloaded", retry_after_ms=rejection.retry_after_ms)
         self._control.note_turn(turn.program_id, kind, at_ms)
         return None
 
-    def _note_rejection(
-        self, call: Call, terms: TurnTerms, program: NewProgram, rejection: Rejection
+    def _report_rejection(
+        self, call: Call, parameters: TurnTerms, program: NewProgram, rejection: Rejection
     ) -> None:
-        self._metrics.count("gateway_programs_refused_total", route=terms.route)
+        self._metrics.count("gateway_programs_refused_total", route=parameters.route)
         self._log.write(
             "program rejected",
             call_id=call.call_id,
             program_id=call.program_id,
-            account=terms.account,
-            route=terms.route,
-            service=terms.service,
-            rank=terms.rank.first,
-            route_rank=terms.rank.then,
+            account=parameters.account,
+            route=parameters.route,
+            service=parameters.service,
+            rank=parameters.rank.first,
+            route_rank=parameters.rank.then,
             pressed=program.is_pressed,
             program_left_ms=program.left_ms,
             wait_ms=round(rejection.wait_ms),
@@ -108,18 +122,18 @@
             retry_after_ms=rejection.retry_after_ms,
         )
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
-        """See `ProgramAdmission.note_begin`."""
-        self._control.note_begin(terms.service, terms.rank, took_ms, now_ms())
-        wait_ms = self._control.wait_ms(terms.service, terms.rank, now_ms())
+    def record_start(self, parameters: TurnTerms, took_ms: float) -> None:
+        """See `ProgramAdmission.record_start`."""
+        self._control.note_begin(parameters.service, parameters.rank, took_ms, now_ms())
+        wait_ms = self._control.wait_ms(parameters.service, parameters.rank, now_ms())
         self._metrics.observe("gateway_turn_wait_ms", wait_ms)
 
-    def note_full(self, terms: TurnTerms) -> None:
-        """See `ProgramAdmission.note_full`."""
-        self._control.note_full(terms.service, terms.rank, now_ms())
+    def record_full(self, parameters: TurnTerms) -> None:
+        """See `ProgramAdmission.record_full`."""
+        self._control.note_full(parameters.service, parameters.rank, now_ms())
 
-    def learn(self) -> None:
-        """See `ProgramAdmission.learn`."""
+    def update_estimates(self) -> None:
+        """See `ProgramAdmission.update_estimates`."""
         self._control.learn(now_ms())
 
     def dump(self) -> dict[str, float]:
@@ -128,5 +142,5 @@
 
 
 def make_admission(*, is_controlled: bool, log: DecisionLog, metrics: Metrics) -> ProgramAdmission:
-    """Returns what decides on new programs at one daemon."""
-    return ControlledAdmission(log=log, metrics=metrics) if is_controlled else OpenAdmission()
+    """Returns the admission control for new programs that the settings ask for."""
+    return ControlledAdmission(log=log, metrics=metrics) if is_controlled else UnlimitedAdmission()
--- a/src/quincespool/gateway/turns/event_stream.py
+++ b/src/quincespool/gateway/turns/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads a stream of server-sent events as it passes through."""
+"""Parses a stream of server-sent events while it is relayed."""
 
 from __future__ import annotations
 
@@ -12,41 +12,42 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-      number: Its id; None if it has none that is a number.
-      text: Its data; None if it has none, as a comment that keeps the connection open.
-      raw: All its bytes, the empty line after it included.
+      number: The event's id; None if it has no id or one that is not a number.
+      payload: The event's data; None if it has none, such as a comment that keeps the connection
+        open.
+      raw: All bytes of the event, including the empty line at its end.
     """
 
     number: int | None
-    text: bytes | None
+    payload: bytes | None
     raw: bytes
 
 
-class WholeEvents:
-    """Splits the bytes of a stream into whole events; an event ends with an empty line."""
+class EventSplitter:
+    """Splits the bytes of a stream into complete events; an event ends with an empty line."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
         self._lines: list[bytes] = []
 
     @property
-    def rest(self) -> bytes:
-        """The bytes behind the last whole event."""
-        return b"".join(line + b"\n" for line in self._lines) + self._rest
+    def incomplete_bytes(self) -> bytes:
+        """The bytes after the last complete event."""
+        return b"".join(line + b"\n" for line in self._lines) + self._partial_line
 
     @property
-    def partial(self) -> bool:
-        """Whether data of an event, or a line, has begun and not ended."""
-        return bool(self._rest) or any(line.startswith(_DATA) for line in self._lines)
+    def has_incomplete_event(self) -> bool:
+        """Whether a line, or an event with data, is incomplete."""
+        return bool(self._partial_line) or any(line.startswith(_DATA) for line in self._lines)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Takes bytes as they come; returns the events that they completed."""
+        """Adds bytes of the stream; returns the events that they complete."""
         events = []
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + data).split(b"\n")
+        self._partial_line = lines.pop()
         for line in lines:
             self._lines.append(line)
             if not line.removesuffix(b"\r"):
@@ -55,47 +56,47 @@
         return events
 
 
-class EventReader:
-    """Collects the data of each event.
+class EventCollector:
+    """Collects the data of all events of a stream.
 
     Attributes:
-      event_count: Events with data seen whole so far.
+      event_count: Number of complete events with data so far.
     """
 
     def __init__(self) -> None:
         self.event_count = 0
-        self._whole = WholeEvents()
-        self._texts: list[bytes] = []
+        self._splitter = EventSplitter()
+        self._payloads: list[bytes] = []
 
     @property
-    def partial(self) -> bool:
-        """Whether an event has begun and not ended."""
-        return self._whole.partial
+    def has_incomplete_event(self) -> bool:
+        """Whether a line, or an event with data, is incomplete."""
+        return self._splitter.has_incomplete_event
 
     @property
-    def text(self) -> bytes:
-        """The data of each whole event, each with a line feed after it."""
-        return b"".join(text + b"\n" for text in self._texts)
+    def collected_data(self) -> bytes:
+        """The data of all complete events, each with a line feed after it."""
+        return b"".join(payload + b"\n" for payload in self._payloads)
 
     def feed(self, data: bytes) -> int:
-        """Takes bytes as they come; returns how many events they completed."""
-        return self.take(self._whole.feed(data))
+        """Adds bytes of the stream; returns how many events with data they complete."""
+        return self.add_events(self._splitter.feed(data))
 
-    def take(self, events: Iterable[StreamEvent]) -> int:
-        """Takes whole events in place of bytes; returns how many have data."""
-        texts = [event.text for event in events if event.text is not None]
-        self._texts += texts
-        self.event_count += len(texts)
-        return len(texts)
+    def add_events(self, events: Iterable[StreamEvent]) -> int:
+        """Adds complete events instead of bytes; returns how many of them have data."""
+        payloads = [event.payload for event in events if event.payload is not None]
+        self._payloads += payloads
+        self.event_count += len(payloads)
+        return len(payloads)
 
 
 def _read_event(lines: list[bytes]) -> StreamEvent:
-    number, texts = None, []
+    number, payloads = None, []
     for line in (one.removesuffix(b"\r") for one in lines):
         if line.startswith(_DATA):
-            texts.append(line[len(_DATA) :].removeprefix(b" "))
+            payloads.append(line[len(_DATA) :].removeprefix(b" "))
         elif line.startswith(b"id:"):
             digits = line[3:].strip()
             number = int(digits) if digits.isdigit() and len(digits) < 19 else None
     raw = b"".join(line + b"\n" for line in lines)
-    return StreamEvent(number, b"\n".join(texts) if texts else None, raw)
+    return StreamEvent(number, b"\n".join(payloads) if payloads else None, raw)
--- a/src/quincespool/gateway/turns/finder.py
+++ b/src/quincespool/gateway/turns/finder.py
@@ -1,4 +1,4 @@
-"""Finds a turn of another program, whichever daemon has it, or makes sure that there is none."""
+"""Finds a turn of another program at any daemon, or makes certain that it does not exist."""
 
 from __future__ import annotations
 
@@ -25,36 +25,49 @@
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.partition import OwnedPartition
 
-# All owners answer within a few round trips to the store; partitions that change hands meanwhile
-# are asked for again until then.
-FIND_LIMIT_MS = 800
-ROUND_LIMIT_MS = 250
-# The one daemon that has the turn answers without the store, in a round trip.
-FIRST_ROUND_MS = 60
+# All owners answer within a few round trips to the store. Until this time is over, the query is
+# repeated for partitions that are reassigned meanwhile.
+FIND_TIMEOUT_MS = 800
+ROUND_TIMEOUT_MS = 250
+# The daemon that has the turn answers within one round trip, without a request to the store.
+FIRST_ROUND_TIMEOUT_MS = 60
 
 
 FinderMessage = FindTurn | TurnFound | TurnAbsent | TurnForeign
 
 
 class FoundTurn(NamedTuple):
-    """The texts of a turn and all before it; none if it is certain that there is no such turn."""
+    """Result of a search.
+
+    Attributes:
+      history: The texts of the turn and of all turns before it; None if the turn certainly does
+        not exist.
+      retention_ms: For how long the turn can be continued after its end; 0 if it does not exist.
+    """
 
     history: bytes | None
     retention_ms: int
 
 
 class _Search:
-    """A search under way."""
+    """A search in progress.
+
+    Attributes:
+      found: The turn, once a daemon has answered with it.
+      is_of_other_account: Whether a daemon knows the turn as one of another account.
+      absent_in: Partitions whose owners are certain not to have the turn.
+      updated: Set when one of the others has changed.
+    """
 
     def __init__(self) -> None:
         self.found: FoundTurn | None = None
-        self.foreign = False
-        self.absent: set[Partition] = set()
-        self.news = asyncio.Event()
+        self.is_of_other_account = False
+        self.absent_in: set[Partition] = set()
+        self.updated = asyncio.Event()
 
 
 class TurnFinder:
-    """Asks the owners of all partitions."""
+    """Looks a turn up at the owners of all partitions."""
 
     def __init__(
         self,
@@ -73,33 +86,34 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def find(self, turn_id: str, account: str) -> FoundTurn | None:
-        """Returns what there is of a turn, None if that cannot be made certain now.
+        """Returns the turn, or that it does not exist; None if neither is certain in time.
 
         Args:
-          turn_id: Which one.
-          account: Whose programs may go on with it; a turn of another account counts as none.
+          turn_id: Id of the turn.
+          account: The account that may continue the turn; a turn of another account counts as not
+            existing.
         """
         search = _Search()
         find_id = next(self._ids)
         self._searches[find_id] = search
-        until_ms = now_ms() + FIND_LIMIT_MS
+        until_ms = now_ms() + FIND_TIMEOUT_MS
         try:
             certain = False
             while now_ms() < until_ms:
-                await self._ask(search, FindTurn(find_id, turn_id, certain, account))
+                await self._run_round(search, FindTurn(find_id, turn_id, certain, account))
                 certain = True
                 if search.found is not None:
                     return search.found
-                if search.foreign or search.absent >= self._partitions:
+                if search.is_of_other_account or search.absent_in >= self._partitions:
                     return FoundTurn(None, 0)
             return None
         finally:
             del self._searches[find_id]
 
     def on_message(self, link: Link, message: FinderMessage) -> None:
-        """Takes a question or an answer of another daemon."""
+        """Handles a query of another daemon, or its answer to a query of this one."""
         if isinstance(message, FindTurn):
-            start_kept(self._answer(link, message), self._tasks)
+            start_kept(self._answer_query(link, message), self._tasks)
             return
         search = self._searches.get(message.find_id)
         if search is None:
@@ -107,42 +121,43 @@
         if isinstance(message, TurnFound):
             search.found = FoundTurn(message.history, message.retention_ms)
         elif isinstance(message, TurnForeign):
-            # Waited on all the same: whoever has the account's own turn of that id answers as soon.
-            search.foreign = True
+            # The search goes on until the round ends: a turn of the account itself with the same id
+            # is reported just as quickly.
+            search.is_of_other_account = True
         else:
-            search.absent.update(Partition(one.topic, one.number) for one in message.partitions)
-        search.news.set()
+            search.absent_in.update(Partition(one.topic, one.number) for one in message.partitions)
+        search.updated.set()
 
-    async def _ask(self, search: _Search, question: FindTurn) -> None:
-        """Asks everybody once and waits until all have answered or the round is over.
+    async def _run_round(self, search: _Search, query: FindTurn) -> None:
+        """Queries all daemons once; waits until all have answered or the round is over.
 
-        Only from the second round on do those without the turn make sure that they would have it:
-        after a loss of all hosts many programs look for their turns at once, and a request to the
-        store for each partition each time was more than the store takes.
+        Only from the second round on, daemons without the turn have the store confirm that they own
+        their partitions. After a loss of all hosts, many programs look for their turns at once, and
+        a request for each partition in each round was more than the store can handle.
         """
         for daemon in self._members.others:
             if self._members.is_alive(daemon.member_id, now_ms()):
                 link = await self._links.get(daemon.peer_address)
                 if link is not None:
-                    link.send(question)
-        search.found = search.found or self._look(question)
-        search.foreign = search.foreign or self._is_foreign(question)
-        if search.found is None and question.certain:
-            search.absent.update(await self._confirmed())
-        round_ends_ms = now_ms() + (ROUND_LIMIT_MS if question.certain else FIRST_ROUND_MS)
-        while search.found is None and not search.absent >= self._partitions:
+                    link.send(query)
+        search.found = search.found or self._find_locally(query)
+        search.is_of_other_account = search.is_of_other_account or self._is_foreign(query)
+        if search.found is None and query.certain:
+            search.absent_in.update(await self._confirmed_partitions())
+        round_ends_ms = now_ms() + (ROUND_TIMEOUT_MS if query.certain else FIRST_ROUND_TIMEOUT_MS)
+        while search.found is None and not search.absent_in >= self._partitions:
             left_ms = round_ends_ms - now_ms()
             if left_ms <= 0:
                 return
-            search.news.clear()
+            search.updated.clear()
             try:
                 async with asyncio.timeout(left_ms / 1000):
-                    await search.news.wait()
+                    await search.updated.wait()
             except TimeoutError:
                 return
 
-    async def _answer(self, link: Link, message: FindTurn) -> None:
-        found = self._look(message)
+    async def _answer_query(self, link: Link, message: FindTurn) -> None:
+        found = self._find_locally(message)
         if found is not None and found.history is not None:
             link.send(TurnFound(message.find_id, found.history, found.retention_ms))
             return
@@ -151,34 +166,40 @@
             return
         if not message.certain:
             return
-        claims = tuple(PartitionClaim(*one, epoch=0) for one in await self._confirmed())
-        if claims:
-            link.send(TurnAbsent(message.find_id, claims))
+        absent_from = tuple(
+            PartitionClaim(*one, epoch=0) for one in await self._confirmed_partitions()
+        )
+        if absent_from:
+            link.send(TurnAbsent(message.find_id, absent_from))
 
-    def _is_foreign(self, question: FindTurn) -> bool:
-        """Whether the turn is known here, and is not of the account that asks.
+    def _is_foreign(self, query: FindTurn) -> bool:
+        """Whether the turn is known here as one of another account than the query's.
 
-        That is certain without the store: the partitions of an account's programs need not be asked
-        for a turn that another one has.
+        No confirmation by the store is needed for that: once the turn is known to belong to another
+        account, the other partitions need not be searched.
         """
         return any(
-            owned.ledger.is_foreign(question.turn_id, question.account)
+            owned.ledger.is_foreign(query.turn_id, query.account)
             for owned in self._ownership.owned.values()
         )
 
-    def _look(self, question: FindTurn) -> FoundTurn | None:
+    def _find_locally(self, query: FindTurn) -> FoundTurn | None:
         for owned in self._ownership.owned.values():
-            program_id = owned.ledger.find(question.turn_id, question.account)
+            program_id = owned.ledger.find(query.turn_id, query.account)
             if owned.ready and program_id:
-                history = owned.ledger.history(program_id, question.turn_id)
+                history = owned.ledger.history(program_id, query.turn_id)
                 return FoundTurn(history, owned.ledger.retention_ms(program_id))
         return None
 
-    async def _confirmed(self) -> list[Partition]:
-        """Returns the partitions that are owned here, as the store has confirmed just now."""
+    async def _confirmed_partitions(self) -> list[Partition]:
+        """Returns the partitions whose ownership by this daemon the store confirms now."""
         ready = [one for one in self._ownership.owned.values() if one.ready]
         confirmed = await asyncio.gather(*(_is_confirmed(one) for one in ready))
-        return [one.partition for one, sure in zip(ready, confirmed, strict=True) if sure]
+        return [
+            one.partition
+            for one, is_confirmed in zip(ready, confirmed, strict=True)
+            if is_confirmed
+        ]
 
 
 async def _is_confirmed(owned: OwnedPartition) -> bool:
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_parts.py
@@ -102,7 +102,7 @@
         )
         self.turns = TurnRunner(
             services,
-            settle_elsewhere=self._settle_elsewhere,
+            settle_at_owner=self._settle_elsewhere,
             finder=self.finder,
             store_reachable=lambda: store_health.reachable,
             admission=self.admission,
@@ -152,10 +152,10 @@
             self.relay.on_message(link, sender, message)
 
     def _lose_link(self, link: Link) -> None:
-        self.relay.on_lost(link)
+        self.relay.on_link_lost(link)
         self.limits.on_lost(link)
 
     async def _settle_elsewhere(
         self, partition: Partition, record: Record, budget_tokens: int | None, left_ms: int
     ) -> bool:
-        return await self.relay.settle_elsewhere(partition, record, budget_tokens, left_ms)
+        return await self.relay.settle_at_owner(partition, record, budget_tokens, left_ms)
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -1,4 +1,4 @@
-"""Hands turns to the owners of their programs, and serves those that other daemons hand over."""
+"""Relays turns to the owners of their programs, and runs those that other daemons relay here."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.turns.ledger import decode_record
 from quincespool.gateway.turns.ledger import encode_record
-from quincespool.gateway.turns.relay_codec import read_headers
-from quincespool.gateway.turns.relay_codec import read_relay
-from quincespool.gateway.turns.relay_codec import write_headers
-from quincespool.gateway.turns.relay_codec import write_relay
+from quincespool.gateway.turns.relay_codec import decode_headers
+from quincespool.gateway.turns.relay_codec import decode_relay_call
+from quincespool.gateway.turns.relay_codec import encode_headers
+from quincespool.gateway.turns.relay_codec import encode_relay_call
 from quincespool.gateway.turns.settlement import Settlement
-from quincespool.gateway.turns.turn_records import STORE_AWAY
+from quincespool.gateway.turns.turn_records import STORE_UNREACHABLE
 from quincespool.verdict import Verdict
 
 if TYPE_CHECKING:
@@ -53,20 +53,22 @@
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.gateway.turns.runner import TurnRunner
 
-# A partition that changes hands is back within some tens of milliseconds, after a death within the
-# lease; a turn waits for it no longer than this, since a refusal costs its caller little.
+# A reassigned partition has a new owner within some tens of milliseconds, after a crash of its
+# owner within the lease. A turn waits for an owner no longer than this, since a refusal costs its
+# caller little.
 OWNER_WAIT_MS = 500
 OWNER_POLL_S = 0.02
 OWNER_RETRY_MS = 400
-# As for a turn whose owner cannot write: the store gives nobody the partition before it is back.
-STORE_AWAY_RETRY_MS = 1_300
-# The owner answers at the time limit; this long after it, it is not going to.
-OVERTIME_MS = 120
+# The same as for a turn whose owner can't write to the store: until the store is back, it assigns
+# the partition to nobody else.
+STORE_UNREACHABLE_RETRY_MS = 1_300
+# The owner answers by the time limit. If it has not done so this long after, it never will.
+ANSWER_GRACE_MS = 120
 NOT_OWNER = "not_owner"
 
 
-class _Pending:
-    """A turn that was handed to its owner."""
+class _PendingTurn:
+    """A turn that was relayed to its owner and has no complete answer yet."""
 
     def __init__(self, reply: Reply) -> None:
         self.reply = reply
@@ -75,14 +77,14 @@
 
 
 class _RemoteReply:
-    """Sends an answer to the daemon that relays for its caller."""
+    """Sends an answer to the daemon that the caller is connected to."""
 
     def __init__(self, link: Link, relay_id: int) -> None:
         self._link = link
         self._relay_id = relay_id
 
     def head(self, status: int, headers: Headers) -> None:
-        self._link.send(RelayHead(self._relay_id, status, write_headers(headers)))
+        self._link.send(RelayHead(self._relay_id, status, encode_headers(headers)))
 
     def piece(self, data: bytes) -> None:
         self._link.send(RelayPiece(self._relay_id, data))
@@ -103,7 +105,7 @@
 
 
 class Relay:
-    """Brings each turn to the owner of its program, which may be this daemon."""
+    """Passes each turn to the owner of its program, which may be this daemon."""
 
     def __init__(
         self,
@@ -123,103 +125,127 @@
         self._members = members
         self._ownership = ownership
         self._links = links
-        self._turns = turns
+        self._turn_runner = turns
         self._store_reachable = store_reachable
         self._has_time_until = has_time_until
         self._log = log
         self._ids = itertools.count(1)
-        self._pending: dict[int, _Pending] = {}
-        self._serving: dict[tuple[Link, int], asyncio.Task[None]] = {}
-        self._settling: dict[int, asyncio.Future[Settlement]] = {}
+        self._pending: dict[int, _PendingTurn] = {}
+        self._relayed_tasks: dict[tuple[Link, int], asyncio.Task[None]] = {}
+        self._pending_settlements: dict[int, asyncio.Future[Settlement]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._settling_for: set[asyncio.Task[None]] = set()
+        self._settlement_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def serving(self) -> int:
-        """Turns of other daemons' callers under way here."""
-        return len(self._serving)
+        """The number of turns that run here and whose callers are connected to other daemons."""
+        return len(self._relayed_tasks)
 
     @property
     def settling(self) -> int:
-        """Records of turns under way that lost their owner, here or for other daemons."""
-        return len(self._settling_for) + self._turns.settling
+        """The number of records still to be made durable for turns whose partition was reassigned.
 
-    async def run(self, call: Call, terms: TurnTerms, reply: Reply, *, until_ms: int) -> str:
-        """Answers a turn; returns the member id of the daemon that did, empty if none."""
+        Counts those of turns that ran here, and those that other daemons have sent.
+        """
+        return len(self._settlement_tasks) + self._turn_runner.unsettled_turns
+
+    async def run(self, call: Call, parameters: TurnTerms, reply: Reply, *, until_ms: int) -> str:
+        """Has a turn answered by the owner of its program, or refuses it.
+
+        Args:
+          call: The call; its `turn` is set.
+          parameters: The service that runs the turn, its time limits and its other parameters.
+          reply: Receives the answer or the refusal.
+          until_ms: Monotonic clock (ms) at which the time limit of the call is over.
+
+        Returns:
+          The member id of the daemon that answered or refused the turn as the owner, empty if none.
+        """
         assert call.turn is not None
         partition = self._partition_for(call.turn.program_id)
-        give_up_ms = min(until_ms, now_ms() + OWNER_WAIT_MS)
-        turned_away: tuple[Daemon, int] | None = None
+        owner_wait_until_ms = min(until_ms, now_ms() + OWNER_WAIT_MS)
+        refused_owner: tuple[Daemon, int] | None = None
         while True:
             refusal: Refusal | None = None
             owned = self._ownership.serving(partition)
             owner = self._members.owner(partition, now_ms())
             if owned is not None:
-                await self._turns.run(call, terms, owned, reply, until_ms=until_ms)
+                await self._turn_runner.run(call, parameters, owned, reply, until_ms=until_ms)
                 return self._member_id
-            if owner is not None and owner != turned_away:
-                refusal = await self._hand_over(owner[0], call, terms, reply, until_ms)
+            if owner is not None and owner != refused_owner:
+                refusal = await self._relay_to_owner(owner[0], call, parameters, reply, until_ms)
                 if refusal is None:
                     return owner[0].member_id
-                if _is_turned_away(refusal) and self._store_reachable():
-                    # The store serves this daemon and turns that owner away: another one has the
-                    # partition when the lease has run out, sooner than the store's return that
-                    # the refusal speaks of.
-                    turned_away = owner
+                if _is_store_refusal(refusal) and self._store_reachable():
+                    # This daemon can reach the store and that owner can't. Once the owner's lease
+                    # expires, another daemon owns the partition. That is sooner than the retry
+                    # time in the refusal, which assumes that the store has to recover first.
+                    refused_owner = owner
                 elif refusal.reason != NOT_OWNER:
                     reply.refuse(refusal)
                     return owner[0].member_id
             if not self._store_reachable():
-                reply.refuse(not_run(STORE_AWAY, retry_after_ms=STORE_AWAY_RETRY_MS))
+                reply.refuse(not_run(STORE_UNREACHABLE, retry_after_ms=STORE_UNREACHABLE_RETRY_MS))
                 return ""
-            if now_ms() >= give_up_ms:
+            if now_ms() >= owner_wait_until_ms:
                 reply.refuse(not_run("no_owner", retry_after_ms=OWNER_RETRY_MS))
                 return ""
             await asyncio.sleep(OWNER_POLL_S)
 
-    async def settle_elsewhere(
+    async def settle_at_owner(
         self, partition: Partition, record: Record, budget_tokens: int | None, left_ms: int
     ) -> bool:
-        """Lets a partition's new owner keep a record; returns whether it has.
+        """Has the current owner of a partition append a record; returns whether it is durable.
+
+        A daemon that has given the partition up still writes to it until another one does.
 
-        One that has given the partition up since still writes while nobody else does.
+        Args:
+          partition: The partition of the record.
+          record: The record of a turn that an earlier owner ran.
+          budget_tokens: Token budget of the turn's program; None if the start of the turn must not
+            be refused for lack of budget.
+          left_ms: Time limit in milliseconds.
         """
         until_ms = now_ms() + left_ms
         while now_ms() < until_ms:
-            own = self._ownership.writer(partition)
+            owned_here = self._ownership.writer(partition)
             owner = self._members.writer(partition, now_ms())
             outcome = Settlement.NOT_HERE
-            if own is not None and (owner is None or owner[1] <= own.epoch):
-                outcome = await own.settle(record, budget_tokens=budget_tokens)
+            if owned_here is not None and (owner is None or owner[1] <= owned_here.epoch):
+                outcome = await owned_here.settle(record, budget_tokens=budget_tokens)
             elif owner is not None:
-                message = _write_settle(next(self._ids), partition, record, budget_tokens)
-                outcome = await self._settle_at(owner[0].peer_address, message, until_ms)
+                message = _make_settle_message(next(self._ids), partition, record, budget_tokens)
+                outcome = await self._request_settlement(owner[0].peer_address, message, until_ms)
             if outcome is not Settlement.NOT_HERE:
                 return outcome is Settlement.KEPT
             await asyncio.sleep(OWNER_POLL_S)
         return False
 
     def on_message(self, link: Link, sender: str, message: Any) -> None:
-        """Takes a message from another daemon."""
+        """Handles a message from another daemon."""
         del sender
         if isinstance(message, RelayCall):
-            self._serve(link, message)
+            self._handle_call(link, message)
         elif isinstance(message, RelayCancel):
-            task = self._serving.get((link, message.relay_id))
+            task = self._relayed_tasks.get((link, message.relay_id))
             if task is not None:
                 task.cancel()
         elif isinstance(message, SettleTurn):
-            start_kept(self._settle_for(link, message), self._settling_for)
+            start_kept(self._handle_settlement(link, message), self._settlement_tasks)
         elif isinstance(message, TurnSettled):
-            future = self._settling.pop(message.settle_id, None)
+            future = self._pending_settlements.pop(message.settle_id, None)
             if future is not None and not future.done():
                 future.set_result(Settlement(message.outcome))
         else:
-            self._take_answer(message)
+            self._handle_answer(message)
 
-    def on_lost(self, link: Link) -> None:
-        """Ends what was on a link."""
-        serving = [task for (one, _), task in self._serving.items() if one is link]
+    def on_link_lost(self, link: Link) -> None:
+        """Ends the turns in progress on a broken link.
+
+        Turns that run here for the other daemon are cancelled. Turns that were relayed to it end
+        with the verdict that they may have run.
+        """
+        serving = [task for (one, _), task in self._relayed_tasks.items() if one is link]
         waiting = [one for one in self._pending.values() if one.link is link]
         if serving or waiting:
             self._log.write(
@@ -231,25 +257,28 @@
             if not pending.done.done():
                 pending.done.set_result(may_have_run("owner_lost"))
 
-    async def _hand_over(
-        self, owner: Daemon, call: Call, terms: TurnTerms, reply: Reply, until_ms: int
+    async def _relay_to_owner(
+        self, owner: Daemon, call: Call, parameters: TurnTerms, reply: Reply, until_ms: int
     ) -> Refusal | None:
-        """Relays a turn to its owner; returns None if it was answered, else the refusal."""
+        """Relays a turn to its owner; returns None if it was answered, else the refusal.
+
+        The refusal has the reason `NOT_OWNER` if the turn was not accepted there.
+        """
         link = await self._links.get(owner.peer_address)
         if link is None:
             self._members.suspect(owner.member_id)
             return not_run(NOT_OWNER)
         relay_id = next(self._ids)
-        pending = _Pending(reply)
+        pending = _PendingTurn(reply)
         pending.link = link
         self._pending[relay_id] = pending
         left_ms = until_ms - now_ms()
-        if not link.send(write_relay(relay_id, call, terms, left_ms=left_ms)):
+        if not link.send(encode_relay_call(relay_id, call, parameters, left_ms=left_ms)):
             del self._pending[relay_id]
             return not_run(NOT_OWNER)
         link.waiting += 1
         try:
-            async with asyncio.timeout((left_ms + OVERTIME_MS) / 1000):
+            async with asyncio.timeout((left_ms + ANSWER_GRACE_MS) / 1000):
                 return await pending.done
         except TimeoutError:
             link.send(RelayCancel(relay_id))
@@ -261,21 +290,22 @@
             link.waiting -= 1
             self._pending.pop(relay_id, None)
 
-    def _take_answer(self, message: RelayHead | RelayPiece | RelayEnd | RelayRefused) -> None:
+    def _handle_answer(self, message: RelayHead | RelayPiece | RelayEnd | RelayRefused) -> None:
         pending = self._pending.get(message.relay_id)
         if pending is None or pending.done.done():
             return
         try:
-            self._hand_on(pending, message)
+            self._forward_answer(pending, message)
         except Exception as error:
-            # It ends this turn, at its caller's handler, not the link with everything on it.
+            # The handler of the caller's request raises it. Raised here, it would close the link,
+            # with every other turn on it.
             pending.done.set_exception(error)
 
-    def _hand_on(
-        self, pending: _Pending, message: RelayHead | RelayPiece | RelayEnd | RelayRefused
+    def _forward_answer(
+        self, pending: _PendingTurn, message: RelayHead | RelayPiece | RelayEnd | RelayRefused
     ) -> None:
         if isinstance(message, RelayHead):
-            pending.reply.head(message.status, read_headers(message.headers))
+            pending.reply.head(message.status, decode_headers(message.headers))
         elif isinstance(message, RelayPiece):
             pending.reply.piece(message.data)
         elif isinstance(message, RelayEnd):
@@ -287,43 +317,49 @@
             )
             pending.done.set_result(refusal)
 
-    def _serve(self, link: Link, message: RelayCall) -> None:
-        call, terms = read_relay(message)
+    def _handle_call(self, link: Link, message: RelayCall) -> None:
+        call, parameters = decode_relay_call(message)
         reply = _RemoteReply(link, message.relay_id)
         owned = self._ownership.serving(self._partition_for(message.program_id))
         until_ms = now_ms() + message.left_ms
         if owned is None or not self._has_time_until(until_ms):
-            # One that is about to leave the group has another owner soon.
+            # A partition whose owner is about to leave the group has another owner soon.
             reply.refuse(not_run(NOT_OWNER))
             return
-        task = start_kept(self._run_for(call, terms, owned, reply, until_ms), self._tasks)
+        task = start_kept(self._run_relayed(call, parameters, owned, reply, until_ms), self._tasks)
         key = (link, message.relay_id)
-        self._serving[key] = task
-        task.add_done_callback(lambda _: self._serving.pop(key, None))
+        self._relayed_tasks[key] = task
+        task.add_done_callback(lambda _: self._relayed_tasks.pop(key, None))
 
-    async def _run_for(
+    async def _run_relayed(
         self,
         call: Call,
-        terms: TurnTerms,
+        parameters: TurnTerms,
         owned: OwnedPartition,
         reply: _RemoteReply,
         until_ms: int,
     ) -> None:
-        """Runs a turn for another daemon, which waits until its time limit if it hears nothing."""
+        """Runs a turn for another daemon.
+
+        A fault is answered with a refusal, as the other daemon would otherwise wait for the turn
+        until its time limit.
+        """
         try:
-            await self._turns.run(call, terms, owned, reply, until_ms=until_ms)
+            await self._turn_runner.run(call, parameters, owned, reply, until_ms=until_ms)
         except Exception as error:
             self._log.write_always(
                 "call failed", call_id=call.call_id, program_id=call.program_id, error=repr(error)
             )
             reply.refuse(may_have_run(FAILED))
 
-    async def _settle_at(self, address: str, message: SettleTurn, until_ms: int) -> Settlement:
+    async def _request_settlement(
+        self, address: str, message: SettleTurn, until_ms: int
+    ) -> Settlement:
         link = await self._links.get(address)
         if link is None:
             return Settlement.NOT_HERE
         future: asyncio.Future[Settlement] = asyncio.get_running_loop().create_future()
-        self._settling[message.settle_id] = future
+        self._pending_settlements[message.settle_id] = future
         link.send(message)
         try:
             async with asyncio.timeout(max(0, until_ms - now_ms()) / 1000):
@@ -331,15 +367,15 @@
         except TimeoutError:
             return Settlement.NOT_HERE
         finally:
-            self._settling.pop(message.settle_id, None)
+            self._pending_settlements.pop(message.settle_id, None)
 
-    async def _settle_for(self, link: Link, message: SettleTurn) -> None:
+    async def _handle_settlement(self, link: Link, message: SettleTurn) -> None:
         owned = self._ownership.writer(Partition(message.topic, message.number))
         outcome = Settlement.NOT_HERE
         try:
             record = decode_record(message.record)
         except msgspec.DecodeError:
-            # A daemon of another version; it gives the turn up when its time is over.
+            # The sender runs another version. It stops trying when its time limit is over.
             owned = None
         if owned is not None:
             budget_tokens = read_optional(message.budget_tokens)
@@ -347,15 +383,15 @@
         link.send(TurnSettled(message.settle_id, outcome.value))
 
 
-def _is_turned_away(refusal: Refusal) -> bool:
-    """Whether an owner has refused a turn, unrun, for want of the store.
+def _is_store_refusal(refusal: Refusal) -> bool:
+    """Whether an owner has refused a turn, without running it, as it can't reach the store.
 
-    One that it has broken off, for the same reason, may have run, and goes to no other owner.
+    A turn that was broken off for the same reason may have run, and must not go to another owner.
     """
-    return refusal.reason == STORE_AWAY and refusal.verdict is Verdict.NOT_RUN
+    return refusal.reason == STORE_UNREACHABLE and refusal.verdict is Verdict.NOT_RUN
 
 
-def _write_settle(
+def _make_settle_message(
     settle_id: int, partition: Partition, record: Record, budget_tokens: int | None
 ) -> SettleTurn:
     return SettleTurn(
--- a/src/quincespool/gateway/turns/relay_codec.py
+++ b/src/quincespool/gateway/turns/relay_codec.py
@@ -1,4 +1,4 @@
-"""A turn and its terms as one message between daemons, and back."""
+"""Converts turns and their parameters to messages between daemons, and back."""
 
 from __future__ import annotations
 
@@ -14,8 +14,17 @@
 from quincespool.policy.urgency import Rank
 
 
-def write_relay(relay_id: int, call: Call, terms: TurnTerms, *, left_ms: int) -> RelayCall:
-    """Returns the message for a turn and what the receiver has decided on it."""
+def encode_relay_call(
+    relay_id: int, call: Call, parameters: TurnTerms, *, left_ms: int
+) -> RelayCall:
+    """Returns the message that relays a turn to its owner.
+
+    Args:
+      relay_id: Identifies the turn in the messages of the answer.
+      call: The call; its `turn` is set.
+      parameters: What the daemon that received the call has decided about it.
+      left_ms: Milliseconds until the time limit of the call.
+    """
     turn = call.turn
     assert turn is not None
     return RelayCall(
@@ -24,7 +33,7 @@
         method=call.method,
         host=call.host,
         target=call.target,
-        headers=write_headers(call.headers),
+        headers=encode_headers(call.headers),
         body=call.body,
         left_ms=left_ms,
         program_id=turn.program_id,
@@ -32,27 +41,27 @@
         budget_tokens=write_optional(turn.budget_tokens),
         most_tokens=turn.most_tokens,
         program_left_ms=write_optional(turn.program_left_ms),
-        configuration_version=terms.version,
+        configuration_version=parameters.version,
         kind=CallKind.STREAMING,
-        timeout_ms=terms.timeout_ms,
-        patience_ms=terms.patience_ms,
-        rank=terms.rank.first,
-        max_attempts=terms.max_attempts,
-        keeps_history=terms.keeps_history,
-        retention_ms=terms.retention_ms,
-        service=terms.service,
-        tokens_per_event=terms.tokens_per_event,
-        account=terms.account,
-        route=terms.route,
-        route_rank=terms.rank.then,
-        resumable=terms.is_resumable,
+        timeout_ms=parameters.timeout_ms,
+        patience_ms=parameters.patience_ms,
+        rank=parameters.rank.first,
+        max_attempts=parameters.max_attempts,
+        keeps_history=parameters.keeps_history,
+        retention_ms=parameters.retention_ms,
+        service=parameters.service,
+        tokens_per_event=parameters.tokens_per_event,
+        account=parameters.account,
+        route=parameters.route,
+        route_rank=parameters.rank.then,
+        resumable=parameters.is_resumable,
         resumes_after=write_optional(call.resumes_after),
-        pressed=terms.is_pressed,
+        pressed=parameters.is_pressed,
     )
 
 
-def read_relay(message: RelayCall) -> tuple[Call, TurnTerms]:
-    """Returns the call and the terms in a message."""
+def decode_relay_call(message: RelayCall) -> tuple[Call, TurnTerms]:
+    """Returns the call and the parameters that a message contains."""
     turn = Turn(
         program_id=message.program_id,
         previous_id=message.previous_id,
@@ -65,14 +74,14 @@
         method=message.method,
         host=message.host,
         target=message.target,
-        headers=read_headers(message.headers),
+        headers=decode_headers(message.headers),
         body=message.body,
         left_ms=message.left_ms,
         turn=turn,
         program_id=message.program_id,
         resumes_after=read_optional(message.resumes_after),
     )
-    terms = TurnTerms(
+    parameters = TurnTerms(
         version=message.configuration_version,
         account=message.account,
         route=message.route,
@@ -87,14 +96,14 @@
         is_resumable=message.resumable,
         is_pressed=message.pressed,
     )
-    return call, terms
+    return call, parameters
 
 
-def write_headers(headers: Headers) -> tuple[HeaderPair, ...]:
-    """Returns headers as they stand in messages."""
+def encode_headers(headers: Headers) -> tuple[HeaderPair, ...]:
+    """Returns headers as messages contain them."""
     return tuple(HeaderPair(name, value) for name, value in headers)
 
 
-def read_headers(pairs: tuple[HeaderPair, ...]) -> Headers:
-    """Returns headers as they stand in calls."""
+def decode_headers(pairs: tuple[HeaderPair, ...]) -> Headers:
+    """Returns headers as calls contain them."""
     return tuple((pair.name, pair.value) for pair in pairs)
--- a/src/quincespool/gateway/turns/runner.py
+++ b/src/quincespool/gateway/turns/runner.py
@@ -1,4 +1,4 @@
-"""Admits turns at the owner of their program, and has them run."""
+"""Admits turns at the owner of their program's partition, and runs them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from quincespool.gateway.turns.ledger import Admission
 from quincespool.gateway.turns.ledger import split_history
 from quincespool.gateway.turns.settlement import LostPartitionError
-from quincespool.gateway.turns.turn_records import STORE_AWAY
-from quincespool.gateway.turns.turn_records import BrokenTurnError
-from quincespool.gateway.turns.turn_records import RecordServices
+from quincespool.gateway.turns.turn_records import STORE_UNREACHABLE
+from quincespool.gateway.turns.turn_records import RecordContext
+from quincespool.gateway.turns.turn_records import TurnFailedError
+from quincespool.gateway.turns.turn_run import TurnContext
 from quincespool.gateway.turns.turn_run import TurnRun
-from quincespool.gateway.turns.turn_run import TurnServices
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,18 +31,20 @@
     from quincespool.gateway.turns.admission import ProgramAdmission
     from quincespool.gateway.turns.finder import TurnFinder
     from quincespool.gateway.turns.partition import OwnedPartition
-    from quincespool.gateway.turns.turn_records import SettleElsewhere
+    from quincespool.gateway.turns.turn_records import SettleAtOwner
 
-# While the store does not answer, nothing that a turn produces can be kept. Callers have few
-# retries; spread over a third of the usual four seconds they outlast an outage of about four.
+# While the store does not answer, no record of a turn can be made durable. Callers have few
+# retries; at intervals of a third of their usual four seconds, the retries outlast an outage of
+# about four.
 STALLED_RETRY_MS = 1_300
-# The new owner of a partition has read it within some tens of milliseconds.
+# The new owner of a partition has read its log within some tens of milliseconds.
 OWNER_CHANGED_RETRY_MS = 100
-# A caller that has more than this part of the route's time left is sent away to come back once; one
-# that has waited already has its turn run, and its end kept if the store is back in time.
-PATIENT_SHARE = 0.8
+# While the store is unreachable, a call with more than this share of the route's time limit left is
+# refused once, to be retried later. A call with less left has waited already: its turn runs, and
+# its end is recorded if the store is back in time.
+RETRY_LATER_SHARE = 0.8
 PARTITION_STALLED = "partition_stalled"
-REFUSED_STATUS = 503
+UNAVAILABLE_STATUS = 503
 NO_SUCH_TURN_STATUS = 404
 
 
@@ -51,58 +53,66 @@
 
     def __init__(
         self,
-        services: Services,
+        context: Services,
         *,
-        settle_elsewhere: SettleElsewhere,
+        settle_at_owner: SettleAtOwner,
         finder: TurnFinder,
         store_reachable: Callable[[], bool],
         admission: ProgramAdmission,
     ) -> None:
-        self._services = services
+        self._context = context
         self._finder = finder
         self._admission = admission
         self._store_reachable = store_reachable
-        self._settling: set[asyncio.Task[None]] = set()
-        self._run_services = TurnServices(
-            services, RecordServices(settle_elsewhere, store_reachable, self._settling), admission
+        self._settlement_tasks: set[asyncio.Task[None]] = set()
+        self._turn_context = TurnContext(
+            context,
+            RecordContext(settle_at_owner, store_reachable, self._settlement_tasks),
+            admission,
         )
         self._last_engine: dict[str, BackendLife] = {}
 
     @property
-    def settling(self) -> int:
-        """Turns that broke off and of which the present owner is still to be told."""
-        return len(self._settling)
+    def unsettled_turns(self) -> int:
+        """The number of failed turns whose records the partition's owner may not have yet."""
+        return len(self._settlement_tasks)
 
     async def run(
-        self, call: Call, terms: TurnTerms, owned: OwnedPartition, reply: Reply, *, until_ms: int
+        self,
+        call: Call,
+        parameters: TurnTerms,
+        owned: OwnedPartition,
+        reply: Reply,
+        *,
+        until_ms: int,
     ) -> None:
         """Answers one turn.
 
         Args:
-          call: With `turn` set.
-          terms: Where it goes, and how long it may take.
+          call: The call; its `turn` is set.
+          parameters: The service that runs the turn, its time limits and its other parameters.
           owned: The partition of its program.
-          reply: Takes the answer.
-          until_ms: Steady clock at which the caller or the route has waited long enough.
+          reply: Receives the answer or the refusal.
+          until_ms: Monotonic clock (ms) at which the time limit of the caller or the route is over.
         """
         turn = call.turn
         assert turn is not None
         left_ms = until_ms - now_ms()
-        is_patient = left_ms > PATIENT_SHARE * terms.timeout_ms
-        refusal = self._admit(call, turn, owned, is_patient=is_patient)
+        can_retry_later = left_ms > RETRY_LATER_SHARE * parameters.timeout_ms
+        refusal = self._admit(call, turn, owned, can_retry_later=can_retry_later)
         if refusal is not None and refusal.status == NO_SUCH_TURN_STATUS:
-            refusal = await self._import(call, turn, terms, owned)
+            refusal = await self._import_history(call, turn, parameters, owned)
         elif refusal is not None:
-            refusal = await _confirmed(refusal, owned)
+            refusal = await _confirm_refusal(refusal, owned)
         if refusal is None:
-            refusal = self._admission.refuse(call, terms, owned.ledger)
+            refusal = self._admission.refuse(call, parameters, owned.ledger)
         if refusal is not None:
             reply.refuse(refusal)
             return
         run = TurnRun(
-            self._run_services,
+            self._turn_context,
             call,
-            terms,
+            parameters,
             owned,
             reply=reply,
             until_ms=until_ms,
@@ -114,26 +124,34 @@
                     await run.answer()
         except TimeoutError:
             reply.refuse(run.timeout_refusal())
-        except BrokenTurnError as error:
+        except TurnFailedError as error:
             reply.refuse(error.refusal)
         finally:
-            self._remember(turn.program_id, run.engine)
+            self._remember_engine(turn.program_id, run.engine)
             run.close()
 
-    def forget_programs(self, keep: int = 4_096) -> None:
-        """Bounds what is remembered of programs, the oldest first, and learns from them."""
-        for program_id in list(self._last_engine)[:-keep]:
+    def evict_programs(self, max_programs: int = 4_096) -> None:
+        """Forgets the engines of the least recently active programs; updates admission estimates.
+
+        Args:
+          max_programs: For how many programs the last engine stays known.
+        """
+        for program_id in list(self._last_engine)[:-max_programs]:
             del self._last_engine[program_id]
-        self._admission.learn()
+        self._admission.update_estimates()
 
-    async def _import(
-        self, call: Call, turn: Turn, terms: TurnTerms, owned: OwnedPartition
+    async def _import_history(
+        self, call: Call, turn: Turn, parameters: TurnTerms, owned: OwnedPartition
     ) -> Refusal | None:
-        """Brings the history of another program's turn here, so that this program can go on."""
-        found = await self._finder.find(turn.previous_id, terms.account)
+        """Copies the history of another program's turn here, so that this program can continue it.
+
+        Returns:
+          The refusal if the turn can't be continued, None if it can.
+        """
+        found = await self._finder.find(turn.previous_id, parameters.account)
         if found is None:
             return not_run("turn_not_found_yet", retry_after_ms=STALLED_RETRY_MS)
-        self._services.log.write(
+        self._context.log.write(
             "turn looked for",
             call_id=call.call_id,
             program_id=turn.program_id,
@@ -146,28 +164,29 @@
             turn.previous_id,
             turn.program_id,
             found.history,
-            retention_ms=max(found.retention_ms, terms.retention_ms),
+            retention_ms=max(found.retention_ms, parameters.retention_ms),
             at_ms=wall_ms(),
         )
         for part in parts:
             owned.submit(part)
-        refusal = self._admit(call, turn, owned, is_patient=False)
-        return None if refusal is None else await _confirmed(refusal, owned)
+        refusal = self._admit(call, turn, owned, can_retry_later=False)
+        return None if refusal is None else await _confirm_refusal(refusal, owned)
 
-    def _remember(self, program_id: str, engine: BackendLife | None) -> None:
+    def _remember_engine(self, program_id: str, engine: BackendLife | None) -> None:
         if engine is not None:
             self._last_engine.pop(program_id, None)
             self._last_engine[program_id] = engine
 
     def _admit(
-        self, call: Call, turn: Turn, owned: OwnedPartition, *, is_patient: bool
+        self, call: Call, turn: Turn, owned: OwnedPartition, *, can_retry_later: bool
     ) -> Refusal | None:
-        reachable = self._store_reachable()
+        is_reachable = self._store_reachable()
         may_begin = owned.uncertain.may_begin(turn.program_id, turn.most_tokens)
-        if (owned.stalled or not reachable) and (is_patient or not may_begin):
-            # Another daemon, which the store may serve, is told apart whether this one is turned
-            # away, and loses the partition soon, or only its appends are not answered.
-            reason = PARTITION_STALLED if reachable else STORE_AWAY
+        if (owned.stalled or not is_reachable) and (can_retry_later or not may_begin):
+            # The reason lets a daemon that can reach the store tell two cases apart: this daemon
+            # can't reach the store, so it loses the partition soon, or only its appends are not
+            # acknowledged.
+            reason = PARTITION_STALLED if is_reachable else STORE_UNREACHABLE
             return not_run(reason, retry_after_ms=STALLED_RETRY_MS)
         admission = owned.ledger.admit(
             program_id=turn.program_id,
@@ -178,7 +197,7 @@
         if admission is Admission.FINE:
             return None
         program = owned.ledger.programs.get(turn.program_id)
-        self._services.log.write(
+        self._context.log.write(
             "turn not admitted",
             call_id=call.call_id,
             program_id=turn.program_id,
@@ -195,18 +214,18 @@
         return not_run("no_such_turn", status=NO_SUCH_TURN_STATUS)
 
 
-async def _confirmed(refusal: Refusal, owned: OwnedPartition) -> Refusal:
-    """Returns a refusal that is true whoever owns the partition now.
+async def _confirm_refusal(refusal: Refusal, owned: OwnedPartition) -> Refusal:
+    """Returns the refusal if it is valid, else one that lets the caller retry.
 
-    That a turn does not exist, or that a budget is spent, may have changed at a new owner; such an
-    answer ends the program, so it is given only after the store has confirmed the owner.
+    A new owner may know the turn, or more of the budget. A refusal for a missing turn or a spent
+    budget ends the program, so it is returned only after the store has confirmed the owner.
     """
-    if refusal.status == REFUSED_STATUS:
+    if refusal.status == UNAVAILABLE_STATUS:
         return refusal
     try:
         await owned.confirm()
     except LostPartitionError:
         return not_run("owner_changed", retry_after_ms=OWNER_CHANGED_RETRY_MS)
     except StoreError:
-        return not_run(STORE_AWAY, retry_after_ms=STALLED_RETRY_MS)
+        return not_run(STORE_UNREACHABLE, retry_after_ms=STALLED_RETRY_MS)
     return refusal
--- a/src/quincespool/gateway/turns/stream_progress.py
+++ b/src/quincespool/gateway/turns/stream_progress.py
@@ -1,83 +1,90 @@
-"""What of a stream has been handed out, and how another run may go on with it.
+"""Tracks which events of a stream were sent, so that another attempt can continue the stream.
 
-Answers engines that break off: they crash, are taken away, or lose an answer in its middle. Only
-whole events are handed out, so that another run can go on behind the last one.
+Handles engines that break off a stream: they crash, are removed, or lose the rest of an answer.
+Only complete events are sent, so that another attempt can continue after the last one.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from quincespool.gateway.turns.event_stream import WholeEvents
+from quincespool.gateway.turns.event_stream import EventSplitter
 
 if TYPE_CHECKING:
     from quincespool.gateway.turns.event_stream import StreamEvent
 
 
-class GapError(Exception):
-    """A run does not go on where the last one ended: its events can't be joined."""
+class EventGapError(Exception):
+    """Raised if an attempt does not continue where the last one ended."""
 
 
 class StreamProgress:
-    """The events of one answer, over all runs at engines that it takes.
+    """The events of one answer, over all attempts at engines.
 
     Attributes:
-      last: Number of the last event that the caller has; None before the first, or if it has none.
-      has_begun: Whether the caller has got an event of this answer.
+      last_number: Number of the last event that the caller has; None before the first event, or if
+        the last one has no number.
+      has_begun: Whether an event of this answer was sent to the caller.
     """
 
     def __init__(self, *, after: int | None) -> None:
-        """Makes the progress of an answer.
+        """Starts at the first event that the caller does not have.
 
         Args:
-          after: Number of the last event that the caller had before this answer, if it said so.
+          after: Number of the last event that the caller had before this answer, as given in its
+            request; None if not given.
         """
-        self.last = after
+        self.last_number = after
         self.has_begun = False
-        self._unnumbered = False
-        self._step: int | None = None
-        self._run = WholeEvents()
-        self._is_resumed = False
+        self._has_unnumbered_event = False
+        self._number_step: int | None = None
+        self._splitter = EventSplitter()
+        self._awaits_continuation = False
 
     @property
     def can_resume(self) -> bool:
-        """Whether another run can be told where to go on."""
-        return not self._unnumbered
+        """Whether another attempt can be told after which event to continue."""
+        return not self._has_unnumbered_event
 
     @property
-    def rest(self) -> bytes:
-        """What the present run has sent behind its last whole event."""
-        return self._run.rest
+    def incomplete_bytes(self) -> bytes:
+        """Bytes that the current attempt has returned after its last complete event."""
+        return self._splitter.incomplete_bytes
 
-    def begin_run(self) -> None:
-        """Begins another run; an event that the last one cut in its middle is dropped."""
-        self._run = WholeEvents()
-        self._is_resumed = self.has_begun
+    def begin_attempt(self) -> None:
+        """Begins another attempt; drops an event that the last attempt returned incompletely."""
+        self._splitter = EventSplitter()
+        self._awaits_continuation = self.has_begun
 
-    def take(self, data: bytes) -> list[StreamEvent]:
-        """Takes bytes of the present run; returns the events that the caller does not have yet.
+    def add_bytes(self, data: bytes) -> list[StreamEvent]:
+        """Adds bytes of the current attempt; returns complete events that the caller does not have.
 
         Raises:
-          GapError: if events are missing before the first one of a run that goes on.
+          EventGapError: if an attempt that continues a stream leaves events out before its first
+            one, or returns an event without a number.
         """
-        return [event for event in self._run.feed(data) if self._is_new(event)]
+        return [event for event in self._splitter.feed(data) if self._is_new(event)]
 
     def _is_new(self, event: StreamEvent) -> bool:
-        number, last = event.number, self.last
-        if event.text is None:
+        number, last = event.number, self.last_number
+        if event.payload is None:
             return True
         if number is None:
-            if self._is_resumed:
-                raise GapError("an event without a number, behind another run")
-            self._unnumbered = True
+            if self._awaits_continuation:
+                raise EventGapError("the event that continues the stream has no number")
+            self._has_unnumbered_event = True
         elif last is not None:
             if number <= last:
-                # The engine has begun again from an earlier event.
+                # The engine has started from an earlier event than was asked for.
                 return False
-            if self._is_resumed and self._step is not None and number != last + self._step:
-                raise GapError(f"event {number} behind event {last}")
-            self._step = number - last
-        self.last = number
-        self._is_resumed = False
+            if (
+                self._awaits_continuation
+                and self._number_step is not None
+                and number != last + self._number_step
+            ):
+                raise EventGapError(f"event {number} does not follow event {last}")
+            self._number_step = number - last
+        self.last_number = number
+        self._awaits_continuation = False
         self.has_begun = True
         return True
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -1,4 +1,4 @@
-"""The records that make one turn last, and what may be handed out before they do."""
+"""Appends the records of one turn; bounds what may be sent before they are durable."""
 
 from __future__ import annotations
 
@@ -29,176 +29,193 @@
     from quincespool.gateway.turns.ledger import Record
     from quincespool.gateway.turns.partition import OwnedPartition
 
-# The start of a turn is durable within some tens of milliseconds, before the engine's first token;
-# after this long the store is taken to be away, and the first token goes out before it.
-START_LIMIT_MS = 250
-# A turn whose caller is gone, or told that it may have run, has its records kept within this time
-# at the partition's next owner, or not at all.
-SETTLE_LIMIT_MS = 1_800
-# The end of a turn waits for its records as long as callers wait for an event, less the way there.
-# Broken off sooner, a turn is run once more that would have ended whole when the store came back.
-PATIENCE_MARGIN_MS = 200
-# What callers wait for at the least, if a daemon of an earlier version does not tell.
-LEAST_PATIENCE_MS = 2_000
-STORE_AWAY = "store_away"
+# The start of a turn is usually durable within some tens of milliseconds, before the engine's first
+# token. After this time the store is considered unreachable, and the first token is sent before the
+# start is durable.
+START_TIMEOUT_MS = 250
+# If the caller of a turn has disconnected, or got the verdict that the turn may have run, its
+# records are made durable at the partition's next owner within this time, or not at all.
+SETTLE_TIMEOUT_MS = 1_800
+# The end of a turn waits for its records for as long as callers wait for an event, less this time
+# for the answer to reach them. With a shorter wait, a turn that would have ended completely once
+# the store is back would be broken off, and run again.
+EVENT_GAP_MARGIN_MS = 200
+# For at least this long callers wait for an event; used if a daemon of an earlier version relays a
+# turn without saying how long.
+MIN_EVENT_GAP_MS = 2_000
+STORE_UNREACHABLE = "store_away"
+
+
+class TurnFailedError(Exception):
+    """Raised to end a turn with the gateway's own final answer instead of an engine's.
 
-
-class BrokenTurnError(Exception):
-    """Ends a turn with the gateway's own final answer."""
+    Attributes:
+      refusal: The final answer.
+    """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.reason)
         self.refusal = refusal
 
 
-class SettleElsewhere(Protocol):
-    """Lets the present owner of a partition keep a record, in so many ms; returns whether it did.
+class SettleAtOwner(Protocol):
+    """Has the current owner of a partition append a record durably.
 
-    A start is refused there if the budget is not enough for it any more.
+    The owner refuses the start of a turn if the program's remaining budget no longer covers it.
     """
 
     def __call__(
         self, partition: Partition, record: Record, budget_tokens: int | None, left_ms: int
     ) -> Awaitable[bool]:
-        """See above."""
+        """Appends the record at the owner within `left_ms`; returns whether it is durable."""
 
 
-class RecordServices(NamedTuple):
-    """What the records of turns need.
+class RecordContext(NamedTuple):
+    """Dependencies of turn records, shared by all turns of a daemon.
 
     Attributes:
-      settle_elsewhere: Has a record kept by the partition's next owner.
+      settle_at_owner: Has a record appended by the partition's current owner.
       store_reachable: Whether the store answers this daemon.
-      settling: Work on turns that broke off before their start was durable.
+      settlement_tasks: Running tasks that make the records of failed turns durable.
     """
 
-    settle_elsewhere: SettleElsewhere
+    settle_at_owner: SettleAtOwner
     store_reachable: Callable[[], bool]
-    settling: set[asyncio.Task[None]]
+    settlement_tasks: set[asyncio.Task[None]]
 
 
 class TurnRecords:
-    """The records of one turn under way.
+    """The records of one turn in progress.
 
     Attributes:
-      handed_out: Events that went to the caller, one that was cut in its middle included.
+      sent_events: Number of events sent to the caller, counting one that was sent only in part.
     """
 
     def __init__(
-        self, services: RecordServices, call: Call, terms: TurnTerms, owned: OwnedPartition
+        self, context: RecordContext, call: Call, parameters: TurnTerms, owned: OwnedPartition
     ) -> None:
         turn = call.turn
         assert turn is not None
-        self.handed_out = 0
-        self._services = services
+        self.sent_events = 0
+        self._context = context
         self._call = call
         self._turn = turn
-        self._terms = terms
+        self._parameters = parameters
         self._owned = owned
-        told_ms = max(LEAST_PATIENCE_MS, terms.patience_ms)
-        self._patience_ms = told_ms - PATIENCE_MARGIN_MS
+        max_gap_ms = max(MIN_EVENT_GAP_MS, parameters.patience_ms)
+        self._append_timeout_ms = max_gap_ms - EVENT_GAP_MARGIN_MS
         self._start = TurnStarted(
             turn_id=call.call_id,
             program_id=turn.program_id,
             most_tokens=turn.most_tokens,
             at_ms=wall_ms(),
-            retention_ms=terms.retention_ms,
+            retention_ms=parameters.retention_ms,
         )
-        self._settled = False
-        self._start_kept: asyncio.Future[None] | None = None
+        self._is_closed = False
+        self._start_append: asyncio.Future[None] | None = None
         self._start_deferred = False
-        # Whether the partition's next owner keeps the start, this one having lost it.
-        self._start_settled = False
+        # Whether this daemon lost the partition, and its next owner has appended the start.
+        self._start_is_durable_elsewhere = False
 
-    def begin(self) -> None:
-        """Hands the start of the turn over to be appended."""
-        self._start_kept = self._submit_start()
+    def submit_start(self) -> None:
+        """Submits the start of the turn to be appended."""
+        self._start_append = self._submit_start()
 
-    async def await_start(self) -> None:
-        """Waits until the reservation lasts, if the store is there.
+    async def wait_for_start(self) -> None:
+        """Waits until the turn's token reservation is durable, if the store is reachable.
 
-        A daemon that takes over would otherwise not know of the turn and let the program spend its
-        tokens again. What is handed out before is bounded by `UncertainTokens`.
+        Without it, a daemon that takes the partition over would not know of the turn and would let
+        the program spend its tokens again. `UncertainTokens` bounds what is sent before.
+
+        Raises:
+          TurnFailedError: if the start must be durable first, and can't be made so in time.
         """
-        assert self._start_kept is not None
+        assert self._start_append is not None
         if self._start_deferred:
             return
         if not self._owned.uncertain.allows(self._turn.program_id):
-            await self._durable_start()
+            await self._require_durable_start()
             return
-        if self._owned.stalled or not self._services.store_reachable():
+        if self._owned.stalled or not self._context.store_reachable():
             return
-        await asyncio.wait({self._start_kept}, timeout=START_LIMIT_MS / 1000)
-        if self._start_kept.done():
-            await self._durable_start()
-
-    async def hand_out(self, events: int) -> None:
-        """Counts events that go to the caller next; waits if the bound asks for a durable start."""
-        tokens = events * self._terms.tokens_per_event
-        if not self._start_is_kept:
+        await asyncio.wait({self._start_append}, timeout=START_TIMEOUT_MS / 1000)
+        if self._start_append.done():
+            await self._require_durable_start()
+
+    async def count_events_to_send(self, events: int) -> None:
+        """Counts events that are sent next; waits if the start must be durable before that.
+
+        Raises:
+          TurnFailedError: if the start must be durable first, and can't be made so in time.
+        """
+        tokens = events * self._parameters.tokens_per_event
+        if not self._is_start_durable:
             program_id, most_tokens = self._turn.program_id, self._turn.most_tokens
             if not self._owned.uncertain.hand_out(program_id, tokens, most_tokens):
-                if self._owned.stalled or not self._services.store_reachable():
-                    raise BrokenTurnError(may_have_run(STORE_AWAY))
+                if self._owned.stalled or not self._context.store_reachable():
+                    raise TurnFailedError(may_have_run(STORE_UNREACHABLE))
                 self._owned.flush()
-                await self._durable_start()
-        self.handed_out += events
+                await self._require_durable_start()
+        self.sent_events += events
 
-    def note_cut_event(self) -> None:
-        """Counts an event of which the caller got a part."""
-        self.handed_out += 1
+    def count_partial_event(self) -> None:
+        """Counts an event of which only a part was sent."""
+        self.sent_events += 1
 
-    async def end_whole(self, output: bytes, until_ms: int) -> bool:
-        """Makes the turn last; returns whether it does in time.
+    async def append_end(self, output: bytes, until_ms: int) -> bool:
+        """Appends the end of the turn; returns whether it is durable in time.
 
         Args:
-          output: Data of all events.
-          until_ms: Steady clock at which the caller has waited long enough.
+          output: The data of all events, each with a line feed after it.
+          until_ms: Monotonic clock (ms) at which the time limit of the call is over.
+
+        Raises:
+          TurnFailedError: if the start of the turn can't be made durable in time.
         """
         previous_id, text = self._turn.previous_id, self._call.body
         if len(text) + len(output) > MAX_PART_BYTES:
-            whole = text + output
-            previous_id = self._submit_head(whole[:-MAX_PART_BYTES])
-            text, output = b"", whole[-MAX_PART_BYTES:]
+            turn_bytes = text + output
+            previous_id = self._submit_long_history(turn_bytes[:-MAX_PART_BYTES])
+            text, output = b"", turn_bytes[-MAX_PART_BYTES:]
         record = TurnEnded(
             turn_id=self._call.call_id,
             program_id=self._turn.program_id,
             previous_id=previous_id,
             input=text,
             output=output,
-            tokens=self.handed_out * self._terms.tokens_per_event,
-            retention_ms=self._terms.retention_ms,
+            tokens=self.sent_events * self._parameters.tokens_per_event,
+            retention_ms=self._parameters.retention_ms,
             at_ms=wall_ms(),
         )
         ended_ms = now_ms()
-        self._settled = True
-        limit_ms = min(self._patience_ms, until_ms - ended_ms)
-        # Handed over before the start is waited for, so that one append takes both.
-        kept = self._owned.submit(record)
-        if not self._start_is_kept:
-            await self._durable_start()
-        return await self._keep(record, kept, ended_ms + limit_ms)
+        self._is_closed = True
+        limit_ms = min(self._append_timeout_ms, until_ms - ended_ms)
+        # Submitted before waiting for the start, so that one append writes both records.
+        append = self._owned.submit(record)
+        if not self._is_start_durable:
+            await self._require_durable_start()
+        return await self._wait_until_durable(record, append, ended_ms + limit_ms)
 
     def close(self) -> None:
-        """Settles a turn that has not ended whole."""
-        if self._start_kept is not None and not self._settled:
-            self._settled = True
-            tokens = self.handed_out * self._terms.tokens_per_event
+        """Records how many tokens were sent, unless the end of the turn has been submitted."""
+        if self._start_append is not None and not self._is_closed:
+            self._is_closed = True
+            tokens = self.sent_events * self._parameters.tokens_per_event
             record = TurnBroken(
                 turn_id=self._call.call_id,
                 program_id=self._turn.program_id,
                 tokens=tokens,
                 at_ms=wall_ms(),
             )
-            kept = self._owned.submit(record)
-            start_kept(self._settle_broken(kept, record), self._services.settling)
+            append = self._owned.submit(record)
+            start_kept(self._settle_failed(append, record), self._context.settlement_tasks)
 
     @property
-    def _start_is_kept(self) -> bool:
-        start = self._start_kept
+    def _is_start_durable(self) -> bool:
+        start = self._start_append
         if start is None or not start.done():
             return False
-        return self._start_settled or start.exception() is None
+        return self._start_is_durable_elsewhere or start.exception() is None
 
     def _submit_start(self) -> asyncio.Future[None]:
         uncertain, program_id = self._owned.uncertain, self._turn.program_id
@@ -209,47 +226,58 @@
         return start
 
     def _may_defer_start(self) -> bool:
-        """Whether the start may be appended with the end, since nothing else is uncertain."""
+        """Whether the start may be appended together with the end.
+
+        That is so if all other tokens sent to the program are in durable records.
+        """
         uncertain, program_id = self._owned.uncertain, self._turn.program_id
-        if self._owned.stalled or not self._services.store_reachable():
+        if self._owned.stalled or not self._context.store_reachable():
             return False
         return uncertain.allows(program_id) and uncertain.is_clear(program_id)
 
-    async def _settle_broken(self, kept: asyncio.Future[None], record: TurnBroken) -> None:
-        """Tells the partition's next owner what was handed out, if this one has lost it.
+    async def _settle_failed(self, append: asyncio.Future[None], record: TurnBroken) -> None:
+        """Has the next owner of the partition record what was sent, if this one lost ownership.
 
-        A reservation that lasts would be spent for good; one that does not, and what was handed out
-        with it, would be spent again.
+        Without the record of the failure, a durable reservation would stay spent for good. Without
+        a durable reservation, the tokens that were sent could be spent again.
         """
         try:
-            await asyncio.shield(kept)
+            await asyncio.shield(append)
         except LostPartitionError:
-            if self._start_is_kept or await self._settle(self._start, SETTLE_LIMIT_MS):
-                await self._settle(record, SETTLE_LIMIT_MS)
+            if self._is_start_durable or await self._settle_at_owner(
+                self._start, SETTLE_TIMEOUT_MS
+            ):
+                await self._settle_at_owner(record, SETTLE_TIMEOUT_MS)
+
+    def _submit_long_history(self, text: bytes) -> str:
+        """Submits what does not fit into the turn's last record, as the history before it.
 
-    def _submit_head(self, text: bytes) -> str:
-        """Hands over what does not fit into the turn's last record; returns the id of its end.
+        The store would always refuse a record that is too large, and with it every later record of
+        the partition.
 
-        The store would refuse such a record for ever, and every later one of the partition with it.
+        Returns:
+          The id that the turn's last record names as the turn before it.
         """
-        head_id = f"{self._call.call_id}#head"
+        history_id = f"{self._call.call_id}#head"
         parts = split_history(
-            head_id,
+            history_id,
             self._turn.program_id,
             text,
             previous_id=self._turn.previous_id,
-            retention_ms=self._terms.retention_ms,
+            retention_ms=self._parameters.retention_ms,
             at_ms=wall_ms(),
         )
         for part in parts:
             self._owned.submit(part)
-        return head_id
+        return history_id
 
-    async def _keep(self, record: Record, kept: asyncio.Future[None], until_ms: int) -> bool:
-        """Returns whether the record is durable, here or at the partition's present owner."""
+    async def _wait_until_durable(
+        self, record: Record, append: asyncio.Future[None], until_ms: int
+    ) -> bool:
+        """Returns whether the record becomes durable in time, here or at the current owner."""
         try:
             async with asyncio.timeout(max(0, until_ms - now_ms()) / 1000):
-                await asyncio.shield(kept)
+                await asyncio.shield(append)
             return True
         except TimeoutError:
             return False
@@ -257,32 +285,32 @@
             return await self._settle_with_history(record, until_ms)
 
     async def _settle_with_history(self, record: Record, until_ms: int) -> bool:
-        """Has the next owner keep a record, and before it what its chain rests on.
+        """Has the current owner append a record, after the history that the record builds on.
 
-        Without these the turn would be whole, and nothing could go on from it.
+        Without that history the turn would be complete, but no turn could continue it.
         """
         parts = self._owned.unkept_parts(self._turn.program_id)
         for one in [*parts, record]:
-            if not await self._settle(one, until_ms - now_ms()):
+            if not await self._settle_at_owner(one, until_ms - now_ms()):
                 return False
         return True
 
-    async def _durable_start(self) -> None:
-        assert self._start_kept is not None
+    async def _require_durable_start(self) -> None:
+        assert self._start_append is not None
         try:
-            async with asyncio.timeout(self._patience_ms / 1000):
-                await asyncio.shield(self._start_kept)
+            async with asyncio.timeout(self._append_timeout_ms / 1000):
+                await asyncio.shield(self._start_append)
         except LostPartitionError as error:
-            # The partition was dealt anew while the record was on its way.
-            if not await self._settle(self._start, SETTLE_LIMIT_MS):
-                raise BrokenTurnError(may_have_run("owner_changed")) from error
-            self._start_settled = True
+            # The partition was reassigned while the record was being appended.
+            if not await self._settle_at_owner(self._start, SETTLE_TIMEOUT_MS):
+                raise TurnFailedError(may_have_run("owner_changed")) from error
+            self._start_is_durable_elsewhere = True
         except TimeoutError as error:
-            raise BrokenTurnError(may_have_run("record_not_kept")) from error
+            raise TurnFailedError(may_have_run("record_not_kept")) from error
 
-    async def _settle(self, record: Record, left_ms: int) -> bool:
-        # What was handed out is spent, whatever is left of the budget at the new owner.
-        budget_tokens = None if self.handed_out else self._turn.budget_tokens
-        return await self._services.settle_elsewhere(
+    async def _settle_at_owner(self, record: Record, left_ms: int) -> bool:
+        # Tokens that were sent are spent, whatever remains of the budget at the new owner.
+        budget_tokens = None if self.sent_events else self._turn.budget_tokens
+        return await self._context.settle_at_owner(
             self._owned.partition, record, budget_tokens, left_ms
         )
--- a/src/quincespool/gateway/turns/turn_retries.py
+++ b/src/quincespool/gateway/turns/turn_retries.py
@@ -1,8 +1,8 @@
-"""To which engine a turn goes next, after one has refused it or broken it off.
+"""Decides whether, when and to which engine a turn is sent again after a failed attempt.
 
-Answers full engines and engines that fail. A route bounds to how many engines a turn may be sent;
-an engine that has had it may have it again. Sent back to its caller instead, a turn comes back no
-sooner, and has used up one of its few tries.
+Handles engines that are full and engines that fail. A route limits to how many engines a turn may
+be sent; the last of them may be tried again. If the turn were refused instead, its caller would
+retry no sooner, and would have used up one of its few retries.
 """
 
 from __future__ import annotations
@@ -10,98 +10,111 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-# Engines that refuse a turn before it is given back to the caller; each costs a round trip.
+# After this many refusals no further engine is tried; each refusal costs a round trip.
 MAX_REFUSALS = 3
-# A full queue moves by one turn in some tens of milliseconds. All pauses together are as long as a
-# caller would stay away.
-FULL_PAUSES_MS = (30, 60, 120)
-# Runs of one turn that break off: a fault that breaks off every one must come to an end.
-MAX_LOST_RUNS = 4
-# With less time left no engine gets to a first event.
-LEAST_LEFT_MS = 60
+# Pauses before the same full engine is tried again. The queue of a full engine advances by one turn
+# every few tens of milliseconds. The sum of the pauses is as long as a caller waits for a retry.
+FULL_RETRY_PAUSES_MS = (30, 60, 120)
+# Limits the attempts of one turn that break off: a fault may break off every one of them.
+MAX_LOST_ATTEMPTS = 4
+# With less time left, no engine produces a first event.
+MIN_REMAINING_MS = 60
 
 
-class Tried(StrEnum):
-    """What became of a turn at an engine.
+class AttemptOutcome(StrEnum):
+    """Outcome of a failed attempt to run a turn at an engine.
 
     Attributes:
-      UNREACHABLE: It was not sent: nothing listens there, or the host does not answer.
-      REPLACED: Another process listens there, and refused it.
-      FULL: The engine refused it.
-      LOST: It was sent, and there will be no whole answer.
+      UNREACHABLE: The turn was not sent: nothing listens at the address, or the host does not
+        answer.
+      REPLACED: Another process than the engine listens at the address; it refused the turn.
+      FULL: The engine refused the turn.
+      ANSWER_LOST: The turn was sent, and there will be no complete answer.
     """
 
     UNREACHABLE = "unreachable"
     REPLACED = "replaced"
     FULL = "full"
-    LOST = "lost"
+    ANSWER_LOST = "lost"
 
 
-class Place(StrEnum):
-    """Where a turn may go.
+class Destination(StrEnum):
+    """Where a turn is sent next.
 
     Attributes:
-      ANOTHER: To an engine that has not had it.
-      SAME: To the engine that had it last.
-      NOWHERE: Back to its caller.
+      ANOTHER_ENGINE: To an engine that was not tried yet.
+      SAME_ENGINE: To the engine that was tried last.
+      CALLER: To no engine: the turn fails, and its caller gets the final answer.
     """
 
-    ANOTHER = "another"
-    SAME = "same"
-    NOWHERE = "nowhere"
+    ANOTHER_ENGINE = "another"
+    SAME_ENGINE = "same"
+    CALLER = "nowhere"
 
 
-class NextRun(NamedTuple):
-    """Where a turn goes, and after which pause."""
+class NextAttempt(NamedTuple):
+    """Where a turn is sent next, and after which pause in milliseconds."""
 
-    place: Place
+    destination: Destination
     pause_ms: int = 0
 
 
-class TurnTries:
-    """The engines that one turn was sent to."""
+class TurnRetries:
+    """Counts the failed attempts of one turn and decides on the next one."""
 
-    def __init__(self, *, max_engines: int, may_run_again: bool) -> None:
-        """Makes the tries of a turn.
+    def __init__(self, *, max_engines: int, may_rerun: bool) -> None:
+        """Starts without any attempt.
 
         Args:
-          max_engines: To which it may be sent. Those that have ended meanwhile don't count.
-          may_run_again: Whether it may be sent once more where an engine may have run it.
+          max_engines: To how many engines the turn may be sent. Engines whose process has ended
+            meanwhile don't count.
+          may_rerun: Whether the turn may be sent again after an engine may have run it.
         """
         self._max_engines = max_engines
-        self._may_run_again = may_run_again
-        self._engines = 0
-        self._refusals = 0
-        self._pauses = 0
-        self._lost_runs = 0
-        self._last: Tried | None = None
-
-    def note(self, tried: Tried, place: Place) -> None:
-        """Takes in what became of the turn at the place that `next_run` has named."""
-        self._last = tried
-        self._lost_runs += tried is Tried.LOST
-        if place is Place.SAME:
-            # An engine whose process has ended works on nothing any more.
-            self._engines -= tried in {Tried.UNREACHABLE, Tried.REPLACED}
+        self._may_rerun = may_rerun
+        self._engine_count = 0
+        self._refusal_count = 0
+        self._pause_count = 0
+        self._lost_count = 0
+        self._last_outcome: AttemptOutcome | None = None
+
+    def record_outcome(self, outcome: AttemptOutcome, destination: Destination) -> None:
+        """Records the outcome of the attempt that `next_attempt` returned last.
+
+        Args:
+          outcome: How the attempt failed.
+          destination: The destination that `next_attempt` returned for it.
+        """
+        self._last_outcome = outcome
+        self._lost_count += outcome is AttemptOutcome.ANSWER_LOST
+        if destination is Destination.SAME_ENGINE:
+            # An engine whose process has ended no longer works on the turn, so it does not count.
+            self._engine_count -= outcome in {AttemptOutcome.UNREACHABLE, AttemptOutcome.REPLACED}
             return
-        self._refusals += tried is not Tried.LOST
-        self._engines += tried is not Tried.UNREACHABLE
-
-    def next_run(self, left_ms: float) -> NextRun:
-        """Returns where the turn goes next."""
-        if self._last is Tried.LOST and not self._may_go_on(left_ms):
-            return NextRun(Place.NOWHERE)
-        if self._engines < self._max_engines and self._refusals < MAX_REFUSALS:
-            return NextRun(Place.ANOTHER)
-        if self._last is Tried.LOST:
-            return NextRun(Place.SAME)
-        if self._last is Tried.FULL and self._pauses < len(FULL_PAUSES_MS):
-            pause_ms = FULL_PAUSES_MS[self._pauses]
-            if pause_ms + LEAST_LEFT_MS <= left_ms:
-                self._pauses += 1
-                return NextRun(Place.SAME, pause_ms)
-        return NextRun(Place.NOWHERE)
-
-    def _may_go_on(self, left_ms: float) -> bool:
-        within_bounds = self._lost_runs < MAX_LOST_RUNS and left_ms >= LEAST_LEFT_MS
-        return self._may_run_again and within_bounds
+        self._refusal_count += outcome is not AttemptOutcome.ANSWER_LOST
+        self._engine_count += outcome is not AttemptOutcome.UNREACHABLE
+
+    def next_attempt(self, left_ms: float) -> NextAttempt:
+        """Returns where the turn is sent next.
+
+        Args:
+          left_ms: Milliseconds until the time limit of the call.
+        """
+        if self._last_outcome is AttemptOutcome.ANSWER_LOST and not self._can_rerun(left_ms):
+            return NextAttempt(Destination.CALLER)
+        if self._engine_count < self._max_engines and self._refusal_count < MAX_REFUSALS:
+            return NextAttempt(Destination.ANOTHER_ENGINE)
+        if self._last_outcome is AttemptOutcome.ANSWER_LOST:
+            return NextAttempt(Destination.SAME_ENGINE)
+        if self._last_outcome is AttemptOutcome.FULL and self._pause_count < len(
+            FULL_RETRY_PAUSES_MS
+        ):
+            pause_ms = FULL_RETRY_PAUSES_MS[self._pause_count]
+            if pause_ms + MIN_REMAINING_MS <= left_ms:
+                self._pause_count += 1
+                return NextAttempt(Destination.SAME_ENGINE, pause_ms)
+        return NextAttempt(Destination.CALLER)
+
+    def _can_rerun(self, left_ms: float) -> bool:
+        within_bounds = self._lost_count < MAX_LOST_ATTEMPTS and left_ms >= MIN_REMAINING_MS
+        return self._may_rerun and within_bounds
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -1,4 +1,4 @@
-"""One turn on its way through an engine, and the records that make it last."""
+"""Runs one turn at an engine and has its records appended to the log of its partition."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.model import not_run
-from quincespool.gateway.turns.event_stream import EventReader
-from quincespool.gateway.turns.stream_progress import GapError
+from quincespool.gateway.turns.event_stream import EventCollector
+from quincespool.gateway.turns.stream_progress import EventGapError
 from quincespool.gateway.turns.stream_progress import StreamProgress
-from quincespool.gateway.turns.turn_records import BrokenTurnError
+from quincespool.gateway.turns.turn_records import TurnFailedError
 from quincespool.gateway.turns.turn_records import TurnRecords
-from quincespool.gateway.turns.turn_retries import Place
-from quincespool.gateway.turns.turn_retries import Tried
-from quincespool.gateway.turns.turn_retries import TurnTries
+from quincespool.gateway.turns.turn_retries import AttemptOutcome
+from quincespool.gateway.turns.turn_retries import Destination
+from quincespool.gateway.turns.turn_retries import TurnRetries
 from quincespool.policy.urgency import turn_priority
 
 if TYPE_CHECKING:
@@ -37,42 +37,43 @@
     from quincespool.gateway.model import TurnTerms
     from quincespool.gateway.turns.admission import ProgramAdmission
     from quincespool.gateway.turns.partition import OwnedPartition
-    from quincespool.gateway.turns.turn_records import RecordServices
+    from quincespool.gateway.turns.turn_records import RecordContext
     from quincespool.gateway.wire import AnswerHead
 
-# A queue on an engine moves by one turn in some tens of milliseconds.
+# The queue of a full engine advances by one turn every few tens of milliseconds.
 FULL_RETRY_MS = 250
 NO_BACKEND_RETRY_MS = 400
-# Handed on with the deadline: the way back of the answer.
-WAY_MS = 15
+# Subtracted from the time limit that the engine gets: time for the answer to come back.
+ANSWER_TRANSFER_MS = 15
 
 
-class TurnServices(NamedTuple):
-    """What turns share.
+class TurnContext(NamedTuple):
+    """Dependencies that all turns of a daemon share.
 
     Attributes:
-      attempts: What their attempts at engines share.
-      records: What their records need.
-      admission: Is told how turns fare.
+      attempts: Dependencies of attempts at engines.
+      records: Dependencies of turn records.
+      admission: Receives how long turns wait for an engine, and which ones find all engines full.
     """
 
     attempts: Services
-    records: RecordServices
+    records: RecordContext
     admission: ProgramAdmission
 
 
 class TurnRun:
-    """One turn under way.
+    """One turn in progress.
 
     Attributes:
-      engine: The one that holds the program's cache, or was the last to take a turn of it.
+      engine: The engine that last answered a turn of the program, and so may still have the
+        program's cache; None if there is none. It is preferred.
     """
 
     def __init__(
         self,
-        services: TurnServices,
+        context: TurnContext,
         call: Call,
-        terms: TurnTerms,
+        parameters: TurnTerms,
         owned: OwnedPartition,
         *,
         reply: Reply,
@@ -82,38 +83,44 @@
         turn = call.turn
         assert turn is not None
         self.engine = engine
-        self._services = services.attempts
-        self._admission = services.admission
+        self._context = context.attempts
+        self._admission = context.admission
         self._call = call
         self._turn = turn
-        self._terms = terms
+        self._parameters = parameters
         self._owned = owned
         self._reply = reply
         self._until_ms = until_ms
-        self._records = TurnRecords(services.records, call, terms, owned)
-        self._events = EventReader()
+        self._records = TurnRecords(context.records, call, parameters, owned)
+        self._events = EventCollector()
         self._progress = StreamProgress(after=call.resumes_after)
-        self._has_head = False
+        self._head_sent = False
         self._may_have_run = False
-        self._began_ms = now_ms()
+        self._started_ms = now_ms()
 
     async def answer(self) -> None:
-        """Finds an engine that takes the turn and relays what it generates."""
-        tries = TurnTries(
-            max_engines=self._terms.max_attempts, may_run_again=self._terms.is_resumable
+        """Sends the turn to engines until one has answered it completely; relays the answer.
+
+        Raises:
+          TurnFailedError: if the turn fails; has the final answer for the caller.
+        """
+        retries = TurnRetries(
+            max_engines=self._parameters.max_attempts, may_rerun=self._parameters.is_resumable
         )
         tried: set[str] = set()
         entry: BackendEntry | None = None
         failed: NotRun | Lost = NotRun("no_backend", sent=False)
-        self._records.begin()
-        while (run := tries.next_run(self._until_ms - now_ms())).place is not Place.NOWHERE:
-            if run.place is Place.ANOTHER:
-                entry = self._choose(frozenset(tried))
+        self._records.submit_start()
+        while (
+            planned := retries.next_attempt(self._until_ms - now_ms())
+        ).destination is not Destination.CALLER:
+            if planned.destination is Destination.ANOTHER_ENGINE:
+                entry = self._choose_backend(frozenset(tried))
                 if entry is None:
                     break
                 tried.add(entry.backend_id)
-            if run.pause_ms:
-                await asyncio.sleep(run.pause_ms / 1000)
+            if planned.pause_ms:
+                await asyncio.sleep(planned.pause_ms / 1000)
             assert entry is not None
             result = await self._attempt_if_usable(entry)
             if result is None:
@@ -121,123 +128,123 @@
             failed = result
             if isinstance(failed, Lost) and not self._progress.can_resume:
                 break
-            tries.note(_tried(failed), run.place)
-            self._note_failed_run(failed, entry)
-        raise BrokenTurnError(self._refusal(failed))
+            retries.record_outcome(_attempt_outcome(failed), planned.destination)
+            self._prepare_resumption(failed, entry)
+        raise TurnFailedError(self._refusal(failed))
 
-    def _choose(self, exclude: frozenset[str]) -> BackendEntry | None:
-        return self._services.backends.choose(
-            self._terms.service,
+    def _choose_backend(self, exclude: frozenset[str]) -> BackendEntry | None:
+        return self._context.backends.choose(
+            self._parameters.service,
             now_ms=now_ms(),
             exclude=exclude,
             prefer=self.engine,
-            connected=self._services.pool.connected(),
+            connected=self._context.pool.connected(),
         )
 
     async def _attempt_if_usable(self, entry: BackendEntry) -> NotRun | Lost | None:
-        """Sends the turn, unless the engine has begun to leave since it was chosen."""
-        if not self._services.backends.is_usable(entry.life):
+        """Sends the turn, unless the engine has started to drain or stop since it was chosen."""
+        if not self._context.backends.is_usable(entry.life):
             return NotRun("backend_gone", sent=False)
         return await self._attempt(entry)
 
     def _refusal(self, failed: NotRun | Lost) -> Refusal:
-        """Returns the final answer for a turn that no engine answers whole."""
-        if self._has_head:
+        """Returns the final answer for a turn that no engine has answered completely."""
+        if self._head_sent:
             return may_have_run("stream_broken")
         if self._may_have_run or isinstance(failed, Lost):
             return may_have_run("answer_lost")
         if failed.reason == BACKEND_FULL:
-            self._admission.note_full(self._terms)
+            self._admission.record_full(self._parameters)
             return not_run(failed.reason, retry_after_ms=FULL_RETRY_MS)
         return not_run(failed.reason, retry_after_ms=NO_BACKEND_RETRY_MS)
 
-    def _note_failed_run(self, failed: NotRun | Lost, entry: BackendEntry) -> None:
-        if not self._terms.is_resumable or not isinstance(failed, Lost):
+    def _prepare_resumption(self, failed: NotRun | Lost, entry: BackendEntry) -> None:
+        if not self._parameters.is_resumable or not isinstance(failed, Lost):
             return
-        self._progress.begin_run()
-        self._services.metrics.count("gateway_streams_broken_total", route=self._terms.route)
-        self._services.log.write(
+        self._progress.begin_attempt()
+        self._context.metrics.count("gateway_streams_broken_total", route=self._parameters.route)
+        self._context.log.write(
             "stream broken off",
             call_id=self._call.call_id,
             program_id=self._turn.program_id,
             backend_id=entry.backend_id,
             reason=failed.reason,
-            last_event=self._progress.last,
+            last_event=self._progress.last_number,
             left_ms=self._until_ms - now_ms(),
         )
 
     def timeout_refusal(self) -> Refusal:
-        """Returns the final answer for a turn whose time is up."""
+        """Returns the final answer for a turn that has exceeded its time limit."""
         if self._may_have_run:
             return may_have_run("timeout", status=504)
         return not_run("timeout", retry_after_ms=FULL_RETRY_MS)
 
     def close(self) -> None:
-        """Settles a turn that has not ended whole."""
+        """Records how many tokens were sent, unless the turn has ended completely."""
         self._records.close()
 
     async def _attempt(self, entry: BackendEntry) -> NotRun | Lost | None:
         call, turn = self._call, self._turn
         history = b""
-        if self._terms.keeps_history:
-            kept = self._owned.ledger.history(turn.program_id, turn.previous_id)
-            if kept is None:
-                raise BrokenTurnError(self._refusal(NotRun("history_gone", sent=False)))
-            history = kept
-        headers = self._services.wire.write_attempt_headers(
+        if self._parameters.keeps_history:
+            found = self._owned.ledger.history(turn.program_id, turn.previous_id)
+            if found is None:
+                raise TurnFailedError(self._refusal(NotRun("history_gone", sent=False)))
+            history = found
+        headers = self._context.wire.write_attempt_headers(
             call,
-            account=self._terms.account,
+            account=self._parameters.account,
             backend_id=entry.backend_id,
-            left_ms=max(1, self._until_ms - now_ms() - WAY_MS),
-            priority=turn_priority(self._terms.rank, turn.program_left_ms),
-            after_event=self._progress.last if self._progress.has_begun else None,
+            left_ms=max(1, self._until_ms - now_ms() - ANSWER_TRANSFER_MS),
+            priority=turn_priority(self._parameters.rank, turn.program_left_ms),
+            after_event=self._progress.last_number if self._progress.has_begun else None,
         )
-        async with Attempt(self._services, entry, call) as attempt:
+        async with Attempt(self._context, entry, call) as attempt:
             failed = await attempt.send(history + call.body, headers)
             if failed is not None:
                 return failed
-            had_run, self._may_have_run = self._may_have_run, True
+            could_have_run, self._may_have_run = self._may_have_run, True
             head = await attempt.head()
             if isinstance(head, NotRun):
-                self._may_have_run = had_run
+                self._may_have_run = could_have_run
                 return head
             if isinstance(head, Lost):
                 return head
             self.engine = entry.life
-            if not had_run:
-                self._admission.note_begin(self._terms, now_ms() - self._began_ms)
+            if not could_have_run:
+                self._admission.record_start(self._parameters, now_ms() - self._started_ms)
             return await self._relay(attempt, head)
 
     async def _relay(self, attempt: Attempt, head: AnswerHead) -> Lost | None:
-        began_ms, seen = now_ms(), self._events.event_count
-        await self._records.await_start()
+        began_ms, earlier_events = now_ms(), self._events.event_count
+        await self._records.wait_for_start()
         if head.status != 200:
             return await self._relay_failure(attempt, head)
-        self._begin_answer(head)
+        self._relay_head(head)
         while True:
             event = await attempt.next_event()
             if isinstance(event, Piece):
-                lost = await self._take_piece(attempt, event.data)
+                lost = await self._relay_piece(attempt, event.data)
                 if lost is not None:
                     return lost
             elif isinstance(event, End):
                 attempt.settle(sound=True)
-                events = self._events.event_count - seen
-                self._services.backends.streamed(attempt.entry, events, now_ms() - began_ms)
-                if self._progress.rest:
-                    self._reply.piece(self._progress.rest)
+                events = self._events.event_count - earlier_events
+                self._context.backends.streamed(attempt.entry, events, now_ms() - began_ms)
+                if self._progress.incomplete_bytes:
+                    self._reply.piece(self._progress.incomplete_bytes)
                 break
             elif isinstance(event, Broken):
-                if self._events.partial:
-                    self._records.note_cut_event()
+                if self._events.has_incomplete_event:
+                    self._records.count_partial_event()
                 return attempt.lose(event)
-        await self._end_whole(attempt.entry)
+        await self._finish(attempt.entry)
         return None
 
-    def _begin_answer(self, head: AnswerHead) -> None:
-        """Hands the head out, once for all runs: the first engine's stays."""
-        if not self._has_head:
-            self._has_head = True
+    def _relay_head(self, head: AnswerHead) -> None:
+        """Sends the head of the answer, once: those of later attempts are dropped."""
+        if not self._head_sent:
+            self._head_sent = True
             self._reply.head(head.status, head.headers)
 
     async def _relay_failure(self, attempt: Attempt, head: AnswerHead) -> Lost | None:
@@ -245,54 +252,57 @@
         if isinstance(body, Lost):
             return body
         attempt.settle(sound=head.status < 500)
-        if self._has_head:
-            # What the caller has got is no part of this answer.
-            return Lost(f"status {head.status} behind a stream")
+        if self._head_sent:
+            # The caller has part of a successful answer, which a failure can't continue.
+            return Lost(f"status {head.status} from an engine that was to continue a stream")
         self._reply.head(head.status, head.headers)
         self._reply.piece(body)
         self._reply.end()
         return None
 
-    async def _take_piece(self, attempt: Attempt, data: bytes) -> Lost | None:
-        """Hands out a piece: as it comes, or its whole events if the stream may be resumed."""
-        if self._terms.is_resumable:
+    async def _relay_piece(self, attempt: Attempt, data: bytes) -> Lost | None:
+        """Relays a piece of the body.
+
+        If the stream may be resumed, only complete events are relayed, else all bytes as they come.
+        """
+        if self._parameters.is_resumable:
             try:
-                events = self._progress.take(data)
-            except GapError as error:
+                events = self._progress.add_bytes(data)
+            except EventGapError as error:
                 return attempt.lose(Broken(str(error), closed=False))
             data = b"".join(event.raw for event in events)
             if not data:
                 return None
-            completed = self._events.take(events)
+            completed = self._events.add_events(events)
         else:
             completed = self._events.feed(data)
-        await self._records.hand_out(completed)
+        await self._records.count_events_to_send(completed)
         self._reply.piece(data)
         return None
 
-    async def _end_whole(self, entry: BackendEntry) -> None:
-        """Makes the turn last, then tells the caller that it is whole."""
+    async def _finish(self, entry: BackendEntry) -> None:
+        """Appends the end of the turn durably, then ends the answer to the caller."""
         ended_ms = now_ms()
-        if not await self._records.end_whole(self._events.text, self._until_ms):
-            raise BrokenTurnError(may_have_run("record_not_kept"))
+        if not await self._records.append_end(self._events.collected_data, self._until_ms):
+            raise TurnFailedError(may_have_run("record_not_kept"))
         self._reply.end()
-        kept_ms = now_ms()
-        self._services.metrics.observe("gateway_record_ms", kept_ms - ended_ms)
-        self._services.log.write(
+        recorded_ms = now_ms()
+        self._context.metrics.observe("gateway_record_ms", recorded_ms - ended_ms)
+        self._context.log.write(
             "turn ended",
             call_id=self._call.call_id,
             program_id=self._turn.program_id,
             backend_id=entry.backend_id,
             events=self._events.event_count,
-            took_ms=kept_ms - self._began_ms,
-            record_ms=kept_ms - ended_ms,
+            took_ms=recorded_ms - self._started_ms,
+            record_ms=recorded_ms - ended_ms,
             epoch=self._owned.epoch,
         )
 
 
-def _tried(failed: NotRun | Lost) -> Tried:
+def _attempt_outcome(failed: NotRun | Lost) -> AttemptOutcome:
     if isinstance(failed, Lost):
-        return Tried.LOST
+        return AttemptOutcome.ANSWER_LOST
     if not failed.sent:
-        return Tried.UNREACHABLE
-    return Tried.REPLACED if failed.reason == BACKEND_REPLACED else Tried.FULL
+        return AttemptOutcome.UNREACHABLE
+    return AttemptOutcome.REPLACED if failed.reason == BACKEND_REPLACED else AttemptOutcome.FULL
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/upkeep.py
@@ -90,7 +90,7 @@
             owned.expire(wall_ms(), steady_ms=now_ms(), grace_ms=LEDGER_GRACE_MS)
             self._trimming.trim(owned)
         self._ownership.end_retired()
-        self._turns.forget_programs()
+        self._turns.evict_programs()
 
     def _renew(self) -> None:
         partitions = list(self._ownership.owned.values())
--- a/tests/gateway/turns/test_admission.py
+++ b/tests/gateway/turns/test_admission.py
@@ -55,7 +55,7 @@
     metrics = Metrics()
     admission = make_admission(is_controlled=is_controlled, log=log, metrics=metrics)  # type: ignore[arg-type]
     for _ in range(20):
-        admission.note_full(TERMS)
+        admission.record_full(TERMS)
     return admission
 
 
--- a/tests/gateway/turns/test_imported_histories.py
+++ b/tests/gateway/turns/test_imported_histories.py
@@ -92,6 +92,6 @@
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.full = False
         await cluster.until(cluster.is_settled)
-        await cluster.until(lambda: not daemon._parts.turns.settling)
+        await cluster.until(lambda: not daemon._parts.turns.unsettled_turns)
         _, reply = await cluster.turn("b", program, budget=100, most=60)
         assert reply.status == 200
--- a/tests/gateway/turns/test_programs.py
+++ b/tests/gateway/turns/test_programs.py
@@ -10,7 +10,7 @@
 
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.model import may_have_run
-from quincespool.gateway.turns.turn_records import STORE_AWAY
+from quincespool.gateway.turns.turn_records import STORE_UNREACHABLE
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 from tests.support.platform_entries import TOKENS_PER_EVENT
@@ -155,9 +155,9 @@
 
         async def broken_off(*args: object) -> Refusal:
             handed_over.append(args)
-            return may_have_run(STORE_AWAY)
+            return may_have_run(STORE_UNREACHABLE)
 
-        relay._hand_over = broken_off  # type: ignore[method-assign, assignment]
+        relay._relay_to_owner = broken_off  # type: ignore[method-assign, assignment]
         epochs = itertools.count(1)
         relay._members.owner = lambda *_: (owner, next(epochs))  # type: ignore[method-assign]
         _, reply = await cluster.turn("b", program)
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quincespool.gateway.turns.turn_retries import MAX_LOST_RUNS
+from quincespool.gateway.turns.turn_retries import MAX_LOST_ATTEMPTS
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 from tests.support.client import fetch
@@ -128,7 +128,7 @@
             engine.knobs.cut_after = 0
         with pytest.raises(ConnectionLostError):
             await cluster.turn("a", "p", call_id="t1")
-        assert len(cluster.runs("t1")) == MAX_LOST_RUNS
+        assert len(cluster.runs("t1")) == MAX_LOST_ATTEMPTS
 
 
 async def test_a_stream_of_a_route_that_may_not_be_resumed_breaks_off() -> None:
