--- a/tests/gateway/turns/test_admission.py
+++ b/tests/gateway/turns/test_admission.py
@@ -1,4 +1,4 @@
-"""New programs at their owner, while engines are full."""
+"""Tests of the admission of new programs while all engines are full."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from quincespool.policy.urgency import Rank
 from quincespool.verdict import Verdict
 
-TERMS = TurnTerms(
+PARAMETERS = TurnTerms(
     version=1,
     account="",
     route="r",
@@ -51,16 +51,16 @@
     return Call("c1", "POST", "h", "/", (), b"", 3_000, turn, program_id)
 
 
-def _full_admission(log: _Log, *, is_controlled: bool = True) -> Any:
+def _admission_with_full_engines(log: _Log, *, is_controlled: bool = True) -> Any:
     metrics = Metrics()
     admission = make_admission(is_controlled=is_controlled, log=log, metrics=metrics)  # type: ignore[arg-type]
     for _ in range(20):
-        admission.record_full(TERMS)
+        admission.record_full(PARAMETERS)
     return admission
 
 
-def test_a_first_turn_is_refused_as_not_run_and_says_why(log: _Log) -> None:
-    refusal = _full_admission(log).refuse(_call("p"), TERMS, Ledger())
+def test_a_first_turn_is_refused_as_not_run_and_the_reason_is_logged(log: _Log) -> None:
+    refusal = _admission_with_full_engines(log).refuse(_call("p"), PARAMETERS, Ledger())
 
     assert refusal is not None
     assert (refusal.status, refusal.verdict) == (503, Verdict.NOT_RUN)
@@ -70,19 +70,22 @@
     assert line.keys() >= {"call_id", "program_id", "wait_ms", "wait_age_ms", "turns"}
 
 
-def test_a_program_that_has_begun_goes_on(log: _Log) -> None:
-    """What its earlier turns took would be lost."""
-    admission, ledger = _full_admission(log), Ledger()
+def test_a_program_that_has_started_is_admitted(log: _Log) -> None:
+    """The engine time that its earlier turns took would be wasted."""
+    admission, ledger = _admission_with_full_engines(log), Ledger()
     ledger.apply(TurnStarted("t0", "known", 10, 0))
-    assert admission.refuse(_call("known"), TERMS, ledger) is None
-    assert admission.refuse(_call("new", previous_id="t0"), TERMS, ledger) is None
+    assert admission.refuse(_call("known"), PARAMETERS, ledger) is None
+    assert admission.refuse(_call("new", previous_id="t0"), PARAMETERS, ledger) is None
 
 
 def test_a_program_without_a_deadline_is_never_refused(log: _Log) -> None:
-    assert _full_admission(log).refuse(_call("p", left_ms=None), TERMS, Ledger()) is None
+    assert (
+        _admission_with_full_engines(log).refuse(_call("p", left_ms=None), PARAMETERS, Ledger())
+        is None
+    )
 
 
-def test_nothing_is_refused_where_settings_do_not_ask_for_it(log: _Log) -> None:
-    admission = _full_admission(log, is_controlled=False)
-    assert admission.refuse(_call("p"), TERMS, Ledger()) is None
+def test_nothing_is_refused_if_the_settings_turn_admission_control_off(log: _Log) -> None:
+    admission = _admission_with_full_engines(log, is_controlled=False)
+    assert admission.refuse(_call("p"), PARAMETERS, Ledger()) is None
     assert admission.dump() == {}
--- a/tests/gateway/turns/test_event_stream.py
+++ b/tests/gateway/turns/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events, however the bytes are cut."""
+"""Tests of parsing server-sent events from bytes that are split anywhere."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from quincespool.gateway.turns.event_stream import EventCollector
 
 STREAM = b"id: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\n: note\n\nid: 3\ndata:\n\n"
-TEXT = b"one\ntwo\nmore\n\n"
+DATA = b"one\ntwo\nmore\n\n"
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=20))
-def test_text_and_count_do_not_depend_on_the_cuts(cuts: list[int]) -> None:
-    reader = EventCollector()
+def test_data_and_count_do_not_depend_on_how_the_bytes_are_split(cuts: list[int]) -> None:
+    collector = EventCollector()
     edges = [0, *sorted(cuts), len(STREAM)]
-    counted = sum(reader.feed(STREAM[start:end]) for start, end in pairwise(edges))
+    counted = sum(collector.feed(STREAM[start:end]) for start, end in pairwise(edges))
 
-    assert counted == reader.event_count == 3
-    assert reader.collected_data == TEXT
-    assert not reader.has_incomplete_event
+    assert counted == collector.event_count == 3
+    assert collector.collected_data == DATA
+    assert not collector.has_incomplete_event
 
 
-def test_an_event_that_was_cut_off_is_partial() -> None:
-    reader = EventCollector()
-    reader.feed(b"id: 1\ndata: one\n\nid: 2\ndata: tw")
+def test_an_event_that_was_cut_off_is_incomplete() -> None:
+    collector = EventCollector()
+    collector.feed(b"id: 1\ndata: one\n\nid: 2\ndata: tw")
 
-    assert reader.event_count == 1
-    assert reader.has_incomplete_event
+    assert collector.event_count == 1
+    assert collector.has_incomplete_event
--- a/tests/gateway/turns/test_programs.py
+++ b/tests/gateway/turns/test_programs.py
@@ -1,4 +1,4 @@
-"""Programs through several daemons: histories, budgets, owners, with real sockets."""
+"""Tests of programs that several daemons serve over sockets: histories, budgets, owners."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         assert cluster.runs(second) == [b"one|" + outputs + b"two|"]
 
 
-async def test_a_turn_that_does_not_exist_is_not_found() -> None:
+async def test_a_previous_turn_that_does_not_exist_is_not_found() -> None:
     async with GatewayCluster() as cluster:
         call_id, reply = await cluster.turn("a", "p1", previous="nowhere")
 
@@ -40,11 +40,10 @@
 
 
 async def test_a_program_continues_a_turn_of_another_program() -> None:
-    """Symptom: 404 for turns that had been answered whole.
+    """Failure: 404 for a turn that was answered completely, if another program made it.
 
-    Events: programs end; new programs name their turns as the previous ones.
-    Cause: a turn lies in the partition of the program that made it, and only the partition of the
-    program that asks was looked at.
+    A turn is recorded in the partition of the program that made it. When a new program names it as
+    its previous turn, looking in the partition of the new program only does not find it.
     """
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "old", body=b"one|")
@@ -55,10 +54,10 @@
 
 
 async def test_parallel_turns_share_one_budget() -> None:
-    """Symptom: a program spends several times its budget.
+    """Failure: a program spends several times its budget.
 
-    Events: many turns of one program come at once, before any of them has generated a token.
-    Cause: each would be admitted against what was spent, not against what is reserved.
+    Many turns of one program come at once, before any of them has generated a token. They must be
+    admitted against the tokens that are reserved, not only against those that are spent.
     """
     async with GatewayCluster() as cluster:
         turns = [cluster.turn("ab"[number % 2], "p1", budget=90, most=30) for number in range(12)]
@@ -67,29 +66,29 @@
         assert statuses == [200] * 3 + [402] * 9
 
 
-async def test_a_budget_outlasts_the_owner() -> None:
-    """Symptom: a program that spent its budget goes on after a crash.
+async def test_a_budget_survives_a_crash_of_the_owner() -> None:
+    """Failure: a program that has spent its budget continues after a crash.
 
-    Events: turns are answered, their owner dies, the next turn comes to the daemon that takes over.
-    Cause: what was spent was only known to the dead owner.
+    The owner crashes after it has answered turns, and another daemon takes over, which must know
+    the spent tokens.
     """
     async with GatewayCluster() as cluster:
         for _ in range(2):
             await cluster.turn("a", "p1", budget=60, most=3 * TOKENS_PER_EVENT)
         owner = next(name for name in ("a", "b") if _owns(cluster, name, "p1"))
         await cluster.lose_node(owner)
-        left = "b" if owner == "a" else "a"
+        survivor = "b" if owner == "a" else "a"
         await cluster.until(cluster.is_settled)
 
-        _, reply = await cluster.turn(left, "p1", budget=60, most=3 * TOKENS_PER_EVENT)
+        _, reply = await cluster.turn(survivor, "p1", budget=60, most=3 * TOKENS_PER_EVENT)
         assert reply.status == 402
 
 
-async def test_history_outlasts_all_daemons() -> None:
-    """Symptom: 404 for a turn that was answered whole before the power went.
+async def test_a_history_survives_a_crash_of_all_daemons() -> None:
+    """Failure: 404 for a turn that was answered completely before a loss of power.
 
-    Events: a turn is answered; all daemons die at once; new ones start.
-    Cause: its end was told before its record was durable.
+    All daemons crash at once after a turn was answered, and new ones start. The end of an answer
+    must not be sent before the record of the turn is durable.
     """
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
@@ -102,17 +101,18 @@
         assert reply.status == 200
 
 
-async def test_an_owner_that_the_store_turns_away_gives_no_false_answer() -> None:
-    """Symptom: 404 for a turn that another daemon has just answered.
+async def test_an_owner_that_the_store_refuses_gives_no_false_answer() -> None:
+    """Failure: 404 for a turn that another daemon has just answered.
 
-    Events: the store turns one daemon away; its partitions go to another one, which answers a turn;
-    the next turn reaches the first daemon, which still has the partitions in memory.
-    Cause: it believed to own what it could not renew.
+    The store refuses the requests of one daemon, and its partitions are assigned to another one,
+    which answers a turn. The next turn reaches the first daemon, which still has the partitions in
+    memory but can't renew its lease.
     """
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
         cluster.nodes["a"].store.knobs.down = True
-        # Assigned is not enough: until it has read them, it hands turns to the former owner.
+        # Assigned is not enough: until `b` has read the partitions, it relays turns to the former
+        # owner.
         await cluster.until(lambda: _ready_count(cluster, "b") == 8)
         first, reply = await cluster.turn("b", program, body=b"one|")
         assert reply.status == 200
@@ -122,12 +122,12 @@
         assert len(cluster.runs(second)) == 1
 
 
-async def test_a_turn_whose_owner_the_store_turns_away_goes_to_the_next_owner() -> None:
-    """Symptom: while the store turns a third of the hosts away, programs owned there lose 1.3 s.
+async def test_a_turn_whose_owner_the_store_refuses_goes_to_the_next_owner() -> None:
+    """Failure: programs are delayed by 1.3 s while the store refuses a third of the hosts.
 
-    Events: the store serves a daemon that has a caller's turn, and turns its owner away; the owner
-    refuses the turn until the store is back, though another one has it when the lease is over.
-    Cause: the refusal was handed on as if the store were away for all.
+    The store serves the daemon that has the caller's turn, but not the owner of the program. The
+    owner refuses the turn until the store is back. If that refusal reaches the caller, it retries
+    much later than another daemon owns the partition, which is when the lease expires.
     """
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
@@ -139,33 +139,34 @@
                 await asyncio.sleep(float(reply.headers["retry-after"]))
 
 
-async def test_a_turn_that_may_have_run_is_not_handed_to_the_next_owner() -> None:
-    """Symptom: an engine runs a turn a second time, after another one's run of it was cut.
+async def test_a_turn_that_may_have_run_is_not_relayed_to_the_next_owner() -> None:
+    """Failure: an engine runs a turn again after another engine's run of it was broken off.
 
-    Events: the store turns the owner away while it hands out a turn's events; it breaks the turn
-    off, for the bound on what nothing lasts of; another daemon becomes the owner.
-    Cause: the daemon that has the caller went by the refusal's reason, which is the same whether
-    the turn has run or not, and handed the turn to the new owner.
+    The store refuses the owner's requests while the owner sends the events of a turn. The owner
+    breaks the turn off, since the number of tokens that no durable record covers is limited.
+    Another daemon becomes the owner. The reason of the refusal is the same whether the turn has run
+    or not, so the daemon that has the caller must also check the verdict before it relays the turn
+    to the new owner.
     """
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
         relay = cluster.nodes["b"].daemon._parts.relay
-        handed_over: list[object] = []
+        relayed: list[object] = []
         owner = cluster.nodes["b"].daemon._members.entries["a"]
 
-        async def broken_off(*args: object) -> Refusal:
-            handed_over.append(args)
+        async def refuse_as_may_have_run(*args: object) -> Refusal:
+            relayed.append(args)
             return may_have_run(STORE_UNREACHABLE)
 
-        relay._relay_to_owner = broken_off  # type: ignore[method-assign, assignment]
+        relay._relay_to_owner = refuse_as_may_have_run  # type: ignore[method-assign, assignment]
         epochs = itertools.count(1)
         relay._members.owner = lambda *_: (owner, next(epochs))  # type: ignore[method-assign]
         _, reply = await cluster.turn("b", program)
         assert reply.status == 502
-        assert len(handed_over) == 1
+        assert len(relayed) == 1
 
 
-async def test_a_turn_is_refused_as_not_run_while_the_store_is_away() -> None:
+async def test_a_turn_is_refused_as_not_run_while_the_store_is_unreachable() -> None:
     async with GatewayCluster() as cluster:
         for node in cluster.nodes.values():
             node.store.knobs.down = True
@@ -178,7 +179,7 @@
 
 
 @pytest.mark.parametrize("program", ["p1", "p2", "p3"])
-async def test_a_stream_that_breaks_off_is_not_taken_for_whole(program: str) -> None:
+async def test_a_stream_that_breaks_off_is_not_ended_as_complete(program: str) -> None:
     async with GatewayCluster() as cluster:
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.cut_after = 2
@@ -189,11 +190,11 @@
         assert b"".join(pieces).count(b"data:") == 2
 
 
-async def test_a_lost_answer_of_the_store_keeps_the_turn_once() -> None:
-    """Symptom: a turn's history twice, or its end never told.
+async def test_a_turn_is_recorded_once_if_an_answer_of_the_store_is_lost() -> None:
+    """Failure: a turn is twice in the history, or its end is never sent.
 
-    Events: the store does an append and its answer is lost; the daemon appends again.
-    Cause: an append without an answer may have been done; the sequence number tells it apart.
+    The store does an append, but its answer is lost, and the daemon appends again. The sequence
+    number lets the store recognize the second append as a repetition.
     """
     async with GatewayCluster() as cluster:
         for node in cluster.nodes.values():
@@ -205,11 +206,11 @@
         assert cluster.runs(second)[0].count(b"one|") == 1
 
 
-async def test_an_engine_stops_when_the_caller_leaves() -> None:
-    """Symptom: engines work on turns whose callers have gone.
+async def test_an_engine_stops_when_the_caller_disconnects() -> None:
+    """Failure: engines work on turns whose callers have disconnected.
 
-    Events: a caller closes its connection in the middle of a stream, at a daemon that relays it.
-    Cause: the owner would go on relaying to nobody.
+    A caller closes its connection in the middle of a stream, at a daemon that relays the turn. The
+    owner must stop too.
     """
     async with GatewayCluster() as cluster:
         for engine in ("e1", "e2"):
@@ -222,7 +223,7 @@
         )
 
 
-async def test_a_planned_stop_hands_programs_over() -> None:
+async def test_a_planned_stop_moves_programs_to_another_daemon() -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         cluster.nodes["a"].daemon.begin_stop()
@@ -241,11 +242,11 @@
     return daemon._parts.relay._partition_for(program) in daemon._ownership.owned
 
 
-async def test_a_daemon_that_outlives_all_others_serves_alone() -> None:
-    """Symptom: after all other hosts are lost, the last one refuses every turn.
+async def test_the_last_daemon_serves_alone() -> None:
+    """Failure: after all other hosts are lost, the last one refuses every turn.
 
-    Events: a daemon hears nobody any more and gives its partitions up, as one that is cut off does.
-    Cause: being the last one and being cut off look alike; only the store tells them apart.
+    A daemon that receives nothing from the others gives its partitions up, as it may be cut off
+    from them. Only the store can tell that it is the last one.
     """
     async with GatewayCluster(3) as cluster:
         for name in ("a", "b"):
@@ -258,12 +259,12 @@
             assert reply.status == 200
 
 
-async def test_turns_end_whole_while_partitions_are_dealt_anew() -> None:
-    """Symptom: streams that break off, or answers of 502, when a host is added.
+async def test_turns_complete_while_partitions_are_reassigned() -> None:
+    """Failure: streams break off, or get status 502, when a host is added.
 
-    Events: turns are under way, some of them before their first record is kept; a daemon joins and
-    gets some of their partitions.
-    Cause: what a daemon still has to write for a partition that it has lost was dropped.
+    A daemon joins and gets some of the partitions while turns are in progress, some of them before
+    their first record is durable. Records that the former owner still has to append must not be
+    dropped.
     """
     async with GatewayCluster(1) as cluster:
         cluster.nodes["a"].store.knobs.delay_ms = 30
@@ -272,8 +273,8 @@
         programs = [f"p{number}" for number in range(24)]
         turns = [asyncio.create_task(cluster.turn("a", one, body=b"one|")) for one in programs]
         await cluster.add_node("b")
-        later = [cluster.turn("a", f"q{number}") for number in range(24)]
-        answers = await asyncio.gather(*turns, *later)
+        later_turns = [cluster.turn("a", f"q{number}") for number in range(24)]
+        answers = await asyncio.gather(*turns, *later_turns)
         assert [reply.status for _, reply in answers] == [200] * 48
         assert len(cluster.nodes["b"].owned) == 4
 
@@ -282,7 +283,7 @@
             assert reply.status == 200
 
 
-async def test_turns_end_whole_while_every_owner_stops_at_once() -> None:
+async def test_turns_complete_while_every_owner_stops_at_once() -> None:
     async with GatewayCluster(2) as cluster:
         turns = await _begin_long_turns(cluster, 16)
         for node in cluster.nodes.values():
@@ -291,21 +292,21 @@
         assert [reply.status for _, reply in answers] == [200] * 16
 
 
-async def test_turns_end_whole_if_the_next_owner_stops_before_they_end() -> None:
+async def test_turns_complete_if_the_next_owner_stops_before_they_end() -> None:
     async with GatewayCluster(2) as cluster:
         turns = await _begin_long_turns(cluster, 16)
         cluster.nodes["a"].daemon.begin_stop()
         await cluster.until(lambda: _ready_count(cluster, "b") == 8, limit_s=0.5)
         cluster.nodes["b"].daemon.begin_stop()
-        ended = asyncio.create_task(_close_when_stopped(cluster.nodes["b"].daemon))
+        closed = asyncio.create_task(_close_when_stopped(cluster.nodes["b"].daemon))
         answers = await asyncio.gather(*turns)
         assert [reply.status for _, reply in answers] == [200] * 16
         await cluster.nodes["a"].daemon.stopped.wait()
         await cluster.nodes["a"].daemon.close()
-        await asyncio.wait_for(ended, 2)
+        await asyncio.wait_for(closed, 2)
 
 
-async def test_an_owner_that_stops_takes_no_turn_that_it_could_not_end() -> None:
+async def test_an_owner_that_stops_accepts_no_turn_that_it_could_not_finish() -> None:
     async with GatewayCluster(2) as cluster:
         program = next(one for one in map(str, itertools.count()) if _owns(cluster, "b", one))
         stop = cluster.nodes["b"].daemon._stop
@@ -316,7 +317,7 @@
         assert not cluster.runs(call_id)
 
 
-async def test_a_partition_that_was_dealt_anew_is_let_go_when_its_turns_have_ended() -> None:
+async def test_a_reassigned_partition_is_no_longer_written_when_its_turns_have_ended() -> None:
     async with GatewayCluster(1) as cluster:
         await _begin_long_turns(cluster, 0)
         await cluster.add_node("b")
@@ -328,7 +329,7 @@
 async def _begin_long_turns(
     cluster: GatewayCluster, count: int
 ) -> list[asyncio.Task[tuple[str, Reply]]]:
-    """Begins turns at daemon `a` whose streams take most of a second."""
+    """Starts turns at daemon `a` whose streams take most of a second."""
     for engine in ("e1", "e2"):
         cluster.engines[engine].knobs.gap_ms = 300
     work = [cluster.turn("a", f"p{number}") for number in range(count)]
@@ -342,11 +343,11 @@
     await daemon.close()
 
 
-async def test_a_daemon_that_starts_again_frees_what_it_owned_before() -> None:
-    """Symptom: programs stand still for a second after a daemon was killed and is back at once.
+async def test_a_restarted_daemon_releases_the_lease_of_its_last_process() -> None:
+    """Failure: programs stall for a second when a daemon is killed and restarts at once.
 
-    Events: a daemon is killed and starts again; its partitions are dealt when its lease is over.
-    Cause: nobody told the store that the process which holds the lease is gone.
+    Unless the store is told that the killed process has ended, the partitions are reassigned only
+    when the lease of that process expires.
     """
     async with GatewayCluster(2) as cluster:
         first, _ = await cluster.turn("a", "p1")
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -1,4 +1,4 @@
-"""Streams that go on at another engine after one has broken off."""
+"""Tests of streams that another engine continues after one has broken off."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def _cluster(**changes: Any) -> AsyncIterator[GatewayCluster]:
-    """Two daemons before two engines; the streaming route may be resumed."""
+    """Starts two daemons and two engines; streams of the route are resumable."""
     async with GatewayCluster(2) as cluster:
         cluster.configure(2, **{"resumable": True, "retain_context": False} | changes)
         await cluster.until(
@@ -36,37 +36,37 @@
         yield cluster
 
 
-def _streams(cluster: GatewayCluster) -> list[PlatformEngine]:
+def _engines(cluster: GatewayCluster) -> list[PlatformEngine]:
     return [cluster.engines["e1"], cluster.engines["e2"]]
 
 
-def _numbers(body: bytes) -> list[int]:
+def _event_numbers(body: bytes) -> list[int]:
     lines = body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-def _asked_after(cluster: GatewayCluster, call_id: str) -> list[str]:
-    """Returns behind which event each run of a call was to go on, in no order of time."""
+def _resumed_after(cluster: GatewayCluster, call_id: str) -> list[str]:
+    """Returns after which event each attempt of a call was to continue, sorted as texts."""
     runs = [run for run in cluster.all_runs() if run.call_id == call_id]
     return sorted(run.headers.get("last-event-id", "") for run in runs)
 
 
-async def test_a_stream_goes_on_behind_its_last_whole_event() -> None:
-    """An engine that breaks off in the middle of an event costs its caller the whole turn."""
+async def test_a_stream_continues_after_its_last_complete_event() -> None:
+    """Failure: a turn is lost if its engine breaks off in the middle of an event."""
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cut_inside, engine.knobs.cuts = 2, True, 1
         call_id, reply = await cluster.turn("a", "p")
-        # Each engine cuts one stream: whichever comes first, the other one cuts its rest.
+        # Each engine cuts one stream, so the second engine cuts the continuation of the first.
         assert reply.status == 200
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
         assert reply.body.count(b"data: ") == EVENTS
-        assert _asked_after(cluster, call_id) == ["", "2", "2"]
+        assert _resumed_after(cluster, call_id) == ["", "2", "2"]
 
 
-async def test_the_headers_of_the_first_engine_stay() -> None:
+async def test_the_caller_gets_the_headers_of_the_first_engine() -> None:
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cuts = 3, 1
         call_id, reply = await cluster.turn("a", "p")
         runs = [run for run in cluster.all_runs() if run.call_id == call_id]
@@ -74,77 +74,77 @@
         assert reply.headers["server-stamp"] == first.headers["expect-instance"]
 
 
-async def test_where_one_engine_is_allowed_the_same_one_goes_on() -> None:
-    """An engine that lives must not have a second one work beside it."""
+async def test_the_same_engine_continues_if_only_one_is_allowed() -> None:
+    """While an engine runs, a second one must not work on the same turn."""
     async with _cluster(max_attempts=1) as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cuts = 2, 1
         call_id, reply = await cluster.turn("a", "p")
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
         used = {run.headers["expect-instance"] for run in cluster.all_runs()}
         assert len(used) == 1
         assert len(cluster.runs(call_id)) == 2
 
 
-async def test_where_one_engine_is_allowed_and_has_crashed_another_one_goes_on() -> None:
+async def test_another_engine_continues_if_the_only_one_allowed_has_crashed() -> None:
     async with _cluster(max_attempts=1) as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.gap_ms = 60
         turn = asyncio.create_task(cluster.turn("a", "p"))
-        await cluster.until(lambda: any(engine.under_way for engine in _streams(cluster)))
+        await cluster.until(lambda: any(engine.under_way for engine in _engines(cluster)))
         await asyncio.sleep(0.15)
-        busy = next(engine for engine in _streams(cluster) if engine.under_way)
+        busy = next(engine for engine in _engines(cluster) if engine.under_way)
         busy.cut_all()
         _, reply = await turn
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
 
 
-async def test_an_engine_that_leaves_is_not_sent_the_rest_of_its_stream() -> None:
-    """It takes nothing new after a few seconds, whatever it has begun."""
+async def test_a_draining_engine_is_not_asked_to_continue_its_stream() -> None:
+    """A draining engine accepts nothing after a few seconds, not even the rest of a stream."""
     async with _cluster(max_attempts=1) as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.gap_ms, engine.knobs.cut_after, engine.knobs.cuts = 150, 2, 1
         turn = asyncio.create_task(cluster.turn("a", "p"))
-        await cluster.until(lambda: any(engine.under_way for engine in _streams(cluster)))
+        await cluster.until(lambda: any(engine.under_way for engine in _engines(cluster)))
         busy = next(name for name in ("e1", "e2") if cluster.engines[name].under_way)
         cluster.announce(busy, "model", state="draining")
         _, reply = await turn
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
         assert len(cluster.engines[busy].runs) == 1
 
 
-async def test_a_second_break_is_survived_and_a_third_engine_is_not_asked_for() -> None:
+async def test_a_stream_survives_two_breaks_with_two_engines() -> None:
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cuts = 1, 1
         call_id, reply = await cluster.turn("a", "p")
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
         assert len(cluster.runs(call_id)) == 3
 
 
-async def test_a_fault_that_cuts_every_run_ends_the_answer_as_broken() -> None:
+async def test_a_stream_that_breaks_in_every_attempt_is_broken_off() -> None:
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after = 0
         with pytest.raises(ConnectionLostError):
             await cluster.turn("a", "p", call_id="t1")
         assert len(cluster.runs("t1")) == MAX_LOST_ATTEMPTS
 
 
-async def test_a_stream_of_a_route_that_may_not_be_resumed_breaks_off() -> None:
-    """Run again it would be doubled."""
+async def test_a_stream_of_a_route_that_is_not_resumable_is_broken_off() -> None:
+    """A second run would repeat the events that the caller has."""
     async with _cluster(resumable=False) as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after = 2
         with pytest.raises(ConnectionLostError):
             await cluster.turn("a", "p", call_id="t1")
         assert len(cluster.runs("t1")) == 1
 
 
-async def test_events_count_once_for_the_budget() -> None:
-    """The turn generates 6 events of 10 tokens, in two runs; the program may have 120."""
+async def test_events_of_two_attempts_count_once_for_the_budget() -> None:
+    """Each turn generates 6 events of 10 tokens, in two attempts; the program may spend 120."""
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cuts = 3, 1
         _, first = await cluster.turn("a", "p", budget=120, most=60)
         _, second = await cluster.turn("a", "p", budget=120, most=60)
@@ -152,7 +152,7 @@
         assert (first.status, second.status, third.status) == (200, 200, 402)
 
 
-async def test_a_caller_goes_on_behind_the_last_event_that_it_has() -> None:
+async def test_a_caller_continues_after_the_last_event_that_it_has() -> None:
     async with _cluster() as cluster:
         headers = {
             "host": HOST_NAME,
@@ -164,39 +164,41 @@
         }
         address = cluster.nodes["a"].address
         reply = await fetch(address, "POST", "/stream/x", headers=headers, body=b"hello")
-        assert _numbers(reply.body) == [5, 6]
+        assert _event_numbers(reply.body) == [5, 6]
 
 
-async def test_a_stream_is_resumed_while_the_store_is_away() -> None:
+async def test_a_stream_is_resumed_while_the_store_is_unreachable() -> None:
     async with _cluster() as cluster:
         _, begun = await cluster.turn("a", "p")
         assert begun.status == 200
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.cut_after, engine.knobs.cuts, engine.knobs.gap_ms = 3, 1, 40
         turn = asyncio.create_task(cluster.turn("a", "p"))
-        await cluster.until(lambda: any(engine.under_way for engine in _streams(cluster)))
+        await cluster.until(lambda: any(engine.under_way for engine in _engines(cluster)))
         cluster.set_store("a", "b", down=True)
         await asyncio.sleep(0.25)
         cluster.set_store("a", "b", down=False)
         _, reply = await turn
-        assert _numbers(reply.body) == list(range(1, EVENTS + 1))
+        assert _event_numbers(reply.body) == list(range(1, EVENTS + 1))
 
 
-async def test_after_the_owner_is_lost_the_caller_goes_on_at_the_next_one() -> None:
-    """The owner's daemon ends between two runs; what it has handed out is not sent again."""
+async def test_after_a_crash_of_the_owner_the_caller_continues_at_the_next_one() -> None:
+    """The owner crashes in the middle of a stream; events that were sent are not sent again."""
     async with _cluster() as cluster:
-        for engine in _streams(cluster):
+        for engine in _engines(cluster):
             engine.knobs.gap_ms = 60
         owner = next(iter(cluster.nodes))
         other = next(name for name in cluster.nodes if name != owner)
         program = _program_owned_by(cluster, owner)
-        seen: list[bytes] = []
-        turn = asyncio.create_task(cluster.turn(other, program, call_id="t1", on_data=seen.append))
-        await cluster.until(lambda: len(seen) >= 2)
+        pieces: list[bytes] = []
+        turn = asyncio.create_task(
+            cluster.turn(other, program, call_id="t1", on_data=pieces.append)
+        )
+        await cluster.until(lambda: len(pieces) >= 2)
         await cluster.lose_node(owner)
         with pytest.raises(ConnectionLostError):
             await turn
-        has = _numbers(b"".join(seen))
+        received = _event_numbers(b"".join(pieces))
         await cluster.until(cluster.is_settled)
         headers = {
             "host": HOST_NAME,
@@ -204,11 +206,11 @@
             "deadline-ms": "3000",
             "program-id": program,
             "token-usage": "5,60",
-            "last-event-id": str(has[-1] if has else 0),
+            "last-event-id": str(received[-1] if received else 0),
         }
         address = cluster.nodes[other].address
         rest = await fetch(address, "POST", "/stream/x", headers=headers, body=b"hello")
-        assert [*has, *_numbers(rest.body)] == list(range(1, EVENTS + 1))
+        assert [*received, *_event_numbers(rest.body)] == list(range(1, EVENTS + 1))
 
 
 def _program_owned_by(cluster: GatewayCluster, name: str) -> str:
--- a/tests/gateway/turns/test_turn_retries.py
+++ b/tests/gateway/turns/test_turn_retries.py
@@ -1,4 +1,4 @@
-"""To which engine a turn goes next."""
+"""Tests of the decision to which engine a turn is sent next."""
 
 from __future__ import annotations
 
@@ -16,62 +16,74 @@
 LEFT_MS = 2_000
 
 
-def _follow(
-    tries: TurnRetries, *outcomes: AttemptOutcome, left_ms: float = LEFT_MS
+def _attempts_after(
+    retries: TurnRetries, *outcomes: AttemptOutcome, left_ms: float = LEFT_MS
 ) -> list[NextAttempt]:
-    """Returns where a turn goes at first and after each outcome."""
-    runs = [tries.next_attempt(left_ms)]
+    """Returns the first attempt and the one after each outcome."""
+    attempts = [retries.next_attempt(left_ms)]
     for outcome in outcomes:
-        tries.record_outcome(outcome, runs[-1].destination)
-        runs.append(tries.next_attempt(left_ms))
-    return runs
+        retries.record_outcome(outcome, attempts[-1].destination)
+        attempts.append(retries.next_attempt(left_ms))
+    return attempts
 
 
-def _places(runs: list[NextAttempt]) -> list[Destination]:
-    return [run.destination for run in runs]
+def _destinations(attempts: list[NextAttempt]) -> list[Destination]:
+    return [attempt.destination for attempt in attempts]
 
 
-def test_a_turn_waits_for_a_place_where_its_route_allows_one_engine_only() -> None:
-    """Given back, each turn of a burst uses up one of its few tries and comes back no sooner."""
-    tries = TurnRetries(max_engines=1, may_rerun=False)
-    runs = _follow(tries, *[AttemptOutcome.FULL] * (len(FULL_RETRY_PAUSES_MS) + 1))
-    assert _places(runs) == [
+def test_a_full_engine_is_retried_after_pauses_if_the_route_allows_one_engine_only() -> None:
+    """If refused, each turn of a burst uses up one of its few retries and is back no sooner."""
+    retries = TurnRetries(max_engines=1, may_rerun=False)
+    attempts = _attempts_after(retries, *[AttemptOutcome.FULL] * (len(FULL_RETRY_PAUSES_MS) + 1))
+    assert _destinations(attempts) == [
         Destination.ANOTHER_ENGINE,
         *[Destination.SAME_ENGINE] * len(FULL_RETRY_PAUSES_MS),
         Destination.CALLER,
     ]
-    assert [run.pause_ms for run in runs[1:-1]] == list(FULL_RETRY_PAUSES_MS)
+    assert [attempt.pause_ms for attempt in attempts[1:-1]] == list(FULL_RETRY_PAUSES_MS)
 
 
-def test_a_turn_whose_time_is_up_does_not_wait_for_a_place() -> None:
-    tries = TurnRetries(max_engines=1, may_rerun=False)
+def test_a_full_engine_is_not_retried_without_time_left_after_the_pause() -> None:
+    retries = TurnRetries(max_engines=1, may_rerun=False)
     left_ms = FULL_RETRY_PAUSES_MS[0] + MIN_REMAINING_MS - 1
-    assert _places(_follow(tries, AttemptOutcome.FULL, left_ms=left_ms))[-1] is Destination.CALLER
+    assert (
+        _destinations(_attempts_after(retries, AttemptOutcome.FULL, left_ms=left_ms))[-1]
+        is Destination.CALLER
+    )
 
 
-def test_full_engines_are_left_for_others_first() -> None:
-    tries = TurnRetries(max_engines=MAX_REFUSALS + 3, may_rerun=False)
-    runs = _follow(tries, *[AttemptOutcome.FULL] * MAX_REFUSALS)
-    assert _places(runs) == [*[Destination.ANOTHER_ENGINE] * MAX_REFUSALS, Destination.SAME_ENGINE]
+def test_other_engines_are_tried_before_a_full_one_is_retried() -> None:
+    retries = TurnRetries(max_engines=MAX_REFUSALS + 3, may_rerun=False)
+    attempts = _attempts_after(retries, *[AttemptOutcome.FULL] * MAX_REFUSALS)
+    assert _destinations(attempts) == [
+        *[Destination.ANOTHER_ENGINE] * MAX_REFUSALS,
+        Destination.SAME_ENGINE,
+    ]
 
 
-def test_engines_that_were_not_reached_do_not_count() -> None:
-    tries = TurnRetries(max_engines=1, may_rerun=False)
-    runs = _follow(
-        tries, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE
+def test_unreachable_engines_do_not_count() -> None:
+    retries = TurnRetries(max_engines=1, may_rerun=False)
+    attempts = _attempts_after(
+        retries, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE
     )
-    assert _places(runs) == [*[Destination.ANOTHER_ENGINE] * MAX_REFUSALS, Destination.CALLER]
+    assert _destinations(attempts) == [
+        *[Destination.ANOTHER_ENGINE] * MAX_REFUSALS,
+        Destination.CALLER,
+    ]
 
 
-def test_what_may_have_run_goes_nowhere_else() -> None:
-    tries = TurnRetries(max_engines=3, may_rerun=False)
-    assert _places(_follow(tries, AttemptOutcome.ANSWER_LOST))[-1] is Destination.CALLER
+def test_a_turn_that_may_have_run_is_not_sent_again_if_it_may_not_be_rerun() -> None:
+    retries = TurnRetries(max_engines=3, may_rerun=False)
+    assert (
+        _destinations(_attempts_after(retries, AttemptOutcome.ANSWER_LOST))[-1]
+        is Destination.CALLER
+    )
 
 
-def test_what_may_run_again_goes_to_another_engine_while_its_route_allows() -> None:
-    tries = TurnRetries(max_engines=2, may_rerun=True)
-    runs = _follow(tries, AttemptOutcome.ANSWER_LOST, AttemptOutcome.ANSWER_LOST)
-    assert _places(runs) == [
+def test_a_turn_that_may_be_rerun_goes_to_another_engine_up_to_the_limit_of_the_route() -> None:
+    retries = TurnRetries(max_engines=2, may_rerun=True)
+    attempts = _attempts_after(retries, AttemptOutcome.ANSWER_LOST, AttemptOutcome.ANSWER_LOST)
+    assert _destinations(attempts) == [
         Destination.ANOTHER_ENGINE,
         Destination.ANOTHER_ENGINE,
         Destination.SAME_ENGINE,
@@ -79,26 +91,31 @@
 
 
 @pytest.mark.parametrize("ended", [AttemptOutcome.UNREACHABLE, AttemptOutcome.REPLACED])
-def test_an_engine_that_has_ended_does_not_count(ended: AttemptOutcome) -> None:
-    """Its one engine is gone: the turn may go on at another one."""
-    tries = TurnRetries(max_engines=1, may_rerun=True)
-    runs = _follow(tries, AttemptOutcome.ANSWER_LOST, ended)
-    assert _places(runs) == [
+def test_an_engine_whose_process_has_ended_does_not_count(ended: AttemptOutcome) -> None:
+    """The only engine that the route allows has ended: another one may continue the turn."""
+    retries = TurnRetries(max_engines=1, may_rerun=True)
+    attempts = _attempts_after(retries, AttemptOutcome.ANSWER_LOST, ended)
+    assert _destinations(attempts) == [
         Destination.ANOTHER_ENGINE,
         Destination.SAME_ENGINE,
         Destination.ANOTHER_ENGINE,
     ]
 
 
-def test_a_fault_that_breaks_off_every_run_comes_to_an_end() -> None:
-    tries = TurnRetries(max_engines=9, may_rerun=True)
-    runs = _follow(tries, *[AttemptOutcome.ANSWER_LOST] * MAX_LOST_ATTEMPTS)
-    assert _places(runs) == [*[Destination.ANOTHER_ENGINE] * MAX_LOST_ATTEMPTS, Destination.CALLER]
+def test_attempts_that_all_break_off_are_limited() -> None:
+    retries = TurnRetries(max_engines=9, may_rerun=True)
+    attempts = _attempts_after(retries, *[AttemptOutcome.ANSWER_LOST] * MAX_LOST_ATTEMPTS)
+    assert _destinations(attempts) == [
+        *[Destination.ANOTHER_ENGINE] * MAX_LOST_ATTEMPTS,
+        Destination.CALLER,
+    ]
 
 
-def test_a_turn_without_time_is_not_begun_again() -> None:
-    tries = TurnRetries(max_engines=2, may_rerun=True)
+def test_a_turn_without_time_left_is_not_sent_again() -> None:
+    retries = TurnRetries(max_engines=2, may_rerun=True)
     assert (
-        _places(_follow(tries, AttemptOutcome.ANSWER_LOST, left_ms=MIN_REMAINING_MS - 1))[-1]
+        _destinations(
+            _attempts_after(retries, AttemptOutcome.ANSWER_LOST, left_ms=MIN_REMAINING_MS - 1)
+        )[-1]
         is Destination.CALLER
     )
