--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -125,7 +125,7 @@
         self._members = members
         self._ownership = ownership
         self._links = links
-        self._turn_runner = turns
+        self._turns = turns
         self._store_reachable = store_reachable
         self._has_time_until = has_time_until
         self._log = log
@@ -147,7 +147,7 @@
 
         Counts those of turns that ran here, and those that other daemons have sent.
         """
-        return len(self._settlement_tasks) + self._turn_runner.unsettled_turns
+        return len(self._settlement_tasks) + self._turns.unsettled_turns
 
     async def run(self, call: Call, parameters: TurnTerms, reply: Reply, *, until_ms: int) -> str:
         """Has a turn answered by the owner of its program, or refuses it.
@@ -170,7 +170,7 @@
             owned = self._ownership.serving(partition)
             owner = self._members.owner(partition, now_ms())
             if owned is not None:
-                await self._turn_runner.run(call, parameters, owned, reply, until_ms=until_ms)
+                await self._turns.run(call, parameters, owned, reply, until_ms=until_ms)
                 return self._member_id
             if owner is not None and owner != refused_owner:
                 refusal = await self._relay_to_owner(owner[0], call, parameters, reply, until_ms)
@@ -345,7 +345,7 @@
         until its time limit.
         """
         try:
-            await self._turn_runner.run(call, parameters, owned, reply, until_ms=until_ms)
+            await self._turns.run(call, parameters, owned, reply, until_ms=until_ms)
         except Exception as error:
             self._log.write_always(
                 "call failed", call_id=call.call_id, program_id=call.program_id, error=repr(error)
