--- a/src/quincespool/gateway/backends/__init__.py
+++ b/src/quincespool/gateway/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: which there are, how sound each is, connections and attempts."""
+"""Backend servers: the table of those known, their health, connections and attempts."""
--- a/src/quincespool/gateway/backends/attempt.py
+++ b/src/quincespool/gateway/backends/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend server, and how it is accounted for."""
+"""One attempt to have a call answered by one backend server, with its log lines and metrics."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from typing import NamedTuple
 
 from quincespool.gateway.backends.crashes import fingerprint
+from quincespool.gateway.backends.exchange import AnswerBroken
+from quincespool.gateway.backends.exchange import AnswerChunk
+from quincespool.gateway.backends.exchange import AnswerEnd
 from quincespool.gateway.backends.exchange import BackendConnection
-from quincespool.gateway.backends.exchange import Broken
 from quincespool.gateway.backends.exchange import ConnectError
-from quincespool.gateway.backends.exchange import End
 from quincespool.gateway.backends.exchange import Head
-from quincespool.gateway.backends.exchange import Piece
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.futures import start_kept
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.crashes import CrashWatch
+    from quincespool.gateway.backends.backend_table import BackendTable
+    from quincespool.gateway.backends.crashes import CrashHistory
     from quincespool.gateway.backends.exchange import ExchangeEvent
     from quincespool.gateway.backends.pool import ConnectionPool
     from quincespool.gateway.backends.reports import BackendReports
-    from quincespool.gateway.backends.table import Backends
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import Call
@@ -35,208 +35,217 @@
 MAX_ANSWER_BYTES = 16_000_000
 BACKEND_FULL = "backend_full"
 BACKEND_REPLACED = "backend_replaced"
-# A process that has crashed refuses connections by now; one that is replaced takes seconds.
+# Time after a lost answer at which a connection is tried: by then a crashed process refuses it, and
+# a replacement, which takes seconds to start, isn't listening yet.
 CRASH_CHECK_S = 0.1
 
-# A timer that fires so late says that this process is short of processor time; the answer may wait
-# in its own socket.
-LATE_TIMER_S = 0.03
+# A timer that fires later than this shows that this process is short of processor time: the answer
+# may have arrived and be unread in the socket.
+MAX_TIMER_DELAY_S = 0.03
 
-_checks: set[asyncio.Task[None]] = set()
+_crash_checks: set[asyncio.Task[None]] = set()
 
 
 class NotRun(NamedTuple):
-    """The call has not run at this backend server and never will.
+    """The call did not run at this backend server and never will.
 
     Attributes:
-      sent: Whether it reached the backend server, which refused it.
+      sent: Whether the call reached the backend server, which then refused it.
     """
 
     reason: str
     sent: bool
 
 
-class Lost(NamedTuple):
-    """The call may have run; there will be no answer."""
+class AnswerLost(NamedTuple):
+    """The call may have run, and its answer will not arrive."""
 
     reason: str
 
 
-class Whole(NamedTuple):
-    """The backend server's whole answer."""
+class CompleteAnswer(NamedTuple):
+    """The complete answer of a backend server."""
 
     status: int
     headers: Headers
     body: bytes
 
 
-class Services(NamedTuple):
-    """What attempts share."""
+class AttemptContext(NamedTuple):
+    """The objects that all attempts of a daemon use."""
 
-    backends: Backends
+    backends: BackendTable
     pool: ConnectionPool
     wire: Wire
     log: DecisionLog
     metrics: Metrics
-    crashes: CrashWatch
-    tell_crash: Callable[[str, str], None]
+    crashes: CrashHistory
+    announce_crash: Callable[[str, str], None]
     backend_reports: BackendReports
 
 
 class Attempt:
-    """A call on its way to one backend server. Use as an asynchronous context manager.
+    """Sends a call to one backend server and reads the answer; an asynchronous context manager.
 
     Attributes:
-      entry: The backend server.
+      entry: The entry of the backend server.
     """
 
-    def __init__(self, services: Services, entry: BackendEntry, call: Call) -> None:
+    def __init__(self, context: AttemptContext, entry: BackendEntry, call: Call) -> None:
         self.entry = entry
-        self._services = services
+        self._context = context
         self._call = call
         self._connection: BackendConnection | None = None
-        self._idle_s: float | None = None
+        self._idle_timeout_s: float | None = None
         self._started_ms = now_ms()
-        self._settled = False
-        self._sent_s = 0.0
-        self._overdue: asyncio.TimerHandle | None = None
+        self._complete = False
+        self._sent_at_s = 0.0
+        self._overdue_timer: asyncio.TimerHandle | None = None
 
     async def __aenter__(self) -> Attempt:
-        self._services.backends.started(self.entry.backend_id)
+        self._context.backends.record_call_start(self.entry.backend_id)
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        self._services.backends.finished(self.entry.backend_id)
-        self._stop_overdue()
+        self._context.backends.record_call_end(self.entry.backend_id)
+        self._stop_overdue_timer()
         if self._connection is None:
             return
-        if self._settled:
-            self._services.pool.give_back(self.entry, self._connection, self._idle_s)
+        if self._complete:
+            self._context.pool.release(self.entry, self._connection, self._idle_timeout_s)
         else:
-            # Closing is what tells the backend server to stop working on the call.
-            self._services.pool.discard(self.entry, self._connection)
+            # The backend server stops working on a call when its connection is closed.
+            self._context.pool.discard(self.entry, self._connection)
 
     async def send(self, body: bytes, headers: Headers) -> NotRun | None:
-        """Connects and sends; returns why that did not happen, if so."""
-        services, entry = self._services, self.entry
+        """Connects and sends the call.
+
+        Returns:
+          None if the call was sent, otherwise why it was not.
+        """
+        context, entry = self._context, self.entry
         try:
-            self._connection = await services.pool.take(entry)
+            self._connection = await context.pool.acquire(entry)
             self._connection.send(
-                self._call.method, self._call.target, headers, body, is_mine=self._is_mine
+                self._call.method,
+                self._call.target,
+                headers,
+                body,
+                matches_request=self._is_own_answer,
             )
         except ConnectError as error:
-            ejected = self._blame("unreachable", unreachable=True)
-            services.pool.drop(entry.backend_id)
-            services.log.write(
+            ejected = self._record_failure("unreachable", unreachable=True)
+            context.pool.close_idle(entry.backend_id)
+            context.log.write(
                 "backend unreachable",
                 call_id=self._call.call_id,
                 backend_id=entry.backend_id,
                 detail=str(error),
                 ejected=ejected,
             )
-            services.metrics.count("gateway_attempts_total", outcome="unreachable")
+            context.metrics.count("gateway_attempts_total", outcome="unreachable")
             return NotRun("backend_unreachable", sent=False)
-        services.log.write(
+        context.log.write(
             "sent",
             call_id=self._call.call_id,
             backend_id=entry.backend_id,
             service=entry.service,
-            load=services.backends.in_flight.get(entry.backend_id, 0),
+            load=context.backends.in_flight.get(entry.backend_id, 0),
             slots=entry.slots,
             connected_ms=now_ms() - self._started_ms,
         )
-        self._start_overdue()
+        self._start_overdue_timer()
         return None
 
     async def next_event(self) -> ExchangeEvent:
-        """Returns what comes next of the answer."""
+        """Waits for the next event of the answer and returns it."""
         assert self._connection is not None
         return await self._connection.next_event()
 
-    async def head(self) -> AnswerHead | NotRun | Lost:
-        """Returns the head of the answer, or why there is none that counts."""
+    async def head(self) -> AnswerHead | NotRun | AnswerLost:
+        """Returns the head of the answer, or why there is no valid one."""
         event = await self.next_event()
-        self._stop_overdue()
-        if isinstance(event, Broken):
-            return self.lose(event)
+        self._stop_overdue_timer()
+        if isinstance(event, AnswerBroken):
+            return self.fail(event)
         assert isinstance(event, Head)
-        took_s = asyncio.get_running_loop().time() - self._sent_s
-        head = self._services.wire.read_answer_head(event.status, event.headers)
-        self._idle_s = head.idle_s
+        took_s = asyncio.get_running_loop().time() - self._sent_at_s
+        head = self._context.wire.read_answer_head(event.status, event.headers)
+        self._idle_timeout_s = head.idle_s
         if head.not_run:
-            await self._drain()
-            return self._refused(head.status)
+            await self._discard_rest()
+            return self._on_refused(head.status)
         if head.status < 300 and not head.stamped:
-            # Whatever answers without the receipt is not the backend server of the call, or broken.
-            return self.lose(Broken(f"status {head.status} without receipt", closed=False))
-        self._services.backends.began(self.entry, took_s * 1000, now_ms())
+            # An answer without a receipt comes from another server or a faulty backend server.
+            return self.fail(AnswerBroken(f"status {head.status} without receipt", closed=False))
+        self._context.backends.record_first_event(self.entry, took_s * 1000, now_ms())
         return head
 
-    async def body(self) -> bytes | Lost:
-        """Returns the rest of the answer's body."""
-        pieces: list[bytes] = []
+    async def body(self) -> bytes | AnswerLost:
+        """Returns the complete body of the answer."""
+        chunks: list[bytes] = []
         size_bytes = 0
         while True:
             event = await self.next_event()
-            if isinstance(event, End):
-                return b"".join(pieces)
-            if isinstance(event, Broken):
-                return self.lose(event)
-            if isinstance(event, Piece):
-                pieces.append(event.data)
+            if isinstance(event, AnswerEnd):
+                return b"".join(chunks)
+            if isinstance(event, AnswerBroken):
+                return self.fail(event)
+            if isinstance(event, AnswerChunk):
+                chunks.append(event.data)
                 size_bytes += len(event.data)
             if size_bytes > MAX_ANSWER_BYTES:
-                return self.lose(Broken("the answer is too large", closed=False))
+                return self.fail(AnswerBroken("the answer is too large", closed=False))
 
-    def settle(self, *, sound: bool) -> None:
-        """The answer is whole: the connection may be used again.
+    def complete(self, *, is_valid: bool) -> None:
+        """Records that the answer is complete, so that its connection may be used again.
 
         Args:
-          sound: Whether the answer speaks for the backend server.
+          is_valid: Whether the answer counts as a success of the backend server, not as a failure.
         """
-        self._settled = True
-        if sound:
-            took_s = asyncio.get_running_loop().time() - self._sent_s
-            self._services.backends.succeeded(self.entry, took_s * 1000)
+        self._complete = True
+        if is_valid:
+            took_s = asyncio.get_running_loop().time() - self._sent_at_s
+            self._context.backends.record_success(self.entry, took_s * 1000)
         else:
-            self._blame("unsound")
-        self._services.metrics.count("gateway_attempts_total", outcome="answered")
-        self._services.crashes.clear(fingerprint(self._call))
+            self._record_failure("unsound")
+        self._context.metrics.count("gateway_attempts_total", outcome="answered")
+        self._context.crashes.clear(fingerprint(self._call))
 
-    def timed_out(self) -> Lost:
-        """Takes note that no answer came in time."""
-        return self.lose(Broken("no answer in time", closed=False))
+    def timed_out(self) -> AnswerLost:
+        """Records that no answer came in time."""
+        return self.fail(AnswerBroken("no answer in time", closed=False))
 
-    def _is_mine(self, headers: Headers) -> bool:
-        answered = self._services.wire.read_answer_head(0, headers).call_id
+    def _is_own_answer(self, headers: Headers) -> bool:
+        answered = self._context.wire.read_answer_head(0, headers).call_id
         return not answered or answered == self._call.call_id
 
-    def _refused(self, status: int) -> NotRun:
-        self._settled = True
-        self._services.metrics.count("gateway_attempts_total", outcome="refused")
-        self._services.log.write(
+    def _on_refused(self, status: int) -> NotRun:
+        self._complete = True
+        self._context.metrics.count("gateway_attempts_total", outcome="refused")
+        self._context.log.write(
             "backend refused",
             call_id=self._call.call_id,
             backend_id=self.entry.backend_id,
             status=status,
-            load=self._services.backends.in_flight.get(self.entry.backend_id, 0),
+            load=self._context.backends.in_flight.get(self.entry.backend_id, 0),
         )
         if status == 421:
-            # Another backend server has the address: this one has gone without a word.
-            self._blame("replaced", unreachable=True)
+            # Another backend server has the address now: this one stopped and left its entry.
+            self._record_failure("replaced", unreachable=True)
             return NotRun(BACKEND_REPLACED, sent=True)
         return NotRun(BACKEND_FULL, sent=True)
 
-    async def _drain(self) -> None:
-        while not isinstance(await self.next_event(), End | Broken):
+    async def _discard_rest(self) -> None:
+        while not isinstance(await self.next_event(), AnswerEnd | AnswerBroken):
             pass
 
-    def lose(self, event: Broken) -> Lost:
-        """Takes note that there will be no whole answer."""
-        services, entry = self._services, self.entry
-        ejected = self._blame("lost")
-        services.metrics.count("gateway_attempts_total", outcome="lost")
-        services.log.write(
+    def fail(self, event: AnswerBroken) -> AnswerLost:
+        """Records that the answer will never be complete."""
+        context, entry = self._context, self.entry
+        ejected = self._record_failure("lost")
+        context.metrics.count("gateway_attempts_total", outcome="lost")
+        context.log.write(
             "answer lost",
             call_id=self._call.call_id,
             backend_id=entry.backend_id,
@@ -244,56 +253,56 @@
             after_ms=now_ms() - self._started_ms,
             ejected=ejected,
         )
-        # One that leaves ends by itself with whatever is there, which is no crash.
-        if event.closed and services.backends.is_usable(entry.life):
-            start_kept(self._check_crash(), _checks)
-        return Lost(event.detail)
-
-    def _blame(self, reason: str, *, unreachable: bool = False) -> bool:
-        """Counts a failure against the backend server; returns whether it is ejected for it."""
-        services, entry = self._services, self.entry
-        services.backend_reports.report(entry, reason)
-        return services.backends.failed(entry.backend_id, now_ms(), unreachable=unreachable)
-
-    def _start_overdue(self) -> None:
+        # A backend server that leaves stops by itself, with its calls: that is not a crash.
+        if event.closed and context.backends.accepts_calls(entry.life):
+            start_kept(self._check_crash(), _crash_checks)
+        return AnswerLost(event.detail)
+
+    def _record_failure(self, reason: str, *, unreachable: bool = False) -> bool:
+        """Records a failure of the backend server; returns whether that ejects it."""
+        context, entry = self._context, self.entry
+        context.backend_reports.report_failure(entry, reason)
+        return context.backends.record_failure(entry.backend_id, now_ms(), unreachable=unreachable)
+
+    def _start_overdue_timer(self) -> None:
         loop = asyncio.get_running_loop()
-        self._sent_s = loop.time()
-        limit_ms = self._services.backends.times.overdue_ms(self.entry.service)
+        self._sent_at_s = loop.time()
+        limit_ms = self._context.backends.service_times.overdue_ms(self.entry.service)
         if limit_ms is not None:
-            due_s = self._sent_s + limit_ms / 1000
-            self._overdue = loop.call_at(due_s, self._note_overdue, due_s, int(limit_ms))
+            due_s = self._sent_at_s + limit_ms / 1000
+            self._overdue_timer = loop.call_at(due_s, self._report_overdue, due_s, int(limit_ms))
 
-    def _stop_overdue(self) -> None:
-        if self._overdue is not None:
-            self._overdue.cancel()
-            self._overdue = None
+    def _stop_overdue_timer(self) -> None:
+        if self._overdue_timer is not None:
+            self._overdue_timer.cancel()
+            self._overdue_timer = None
 
-    def _note_overdue(self, due_s: float, late_ms: int) -> None:
-        """Tells of a backend server that has not begun to answer long after others would have."""
-        if asyncio.get_running_loop().time() - due_s < LATE_TIMER_S:
-            self._services.backend_reports.report_late(self.entry, late_ms)
+    def _report_overdue(self, due_s: float, late_ms: int) -> None:
+        """Reports that the answer has not begun long after the usual time of its service."""
+        if asyncio.get_running_loop().time() - due_s < MAX_TIMER_DELAY_S:
+            self._context.backend_reports.report_overdue(self.entry, late_ms)
 
     async def _check_crash(self) -> None:
-        """Finds out whether the backend server went down with the call, and tells the others.
+        """Checks whether the backend server crashed during the call, and announces it if so.
 
-        A lost answer looks the same at first; only a backend server that is down refuses to be
-        connected to.
+        A lost answer alone does not show a crash: only a backend server that is down refuses new
+        connections.
         """
         await asyncio.sleep(CRASH_CHECK_S)
         probe = BackendConnection()
         try:
             await probe.connect(self.entry.address)
         except ConnectError:
-            mark = fingerprint(self._call)
-            # Two lives under one id are two crashes.
-            life = str(self.entry.life)
-            crashes = self._services.crashes.note(mark, life, now_ms())
-            self._services.tell_crash(mark, life)
-            self._services.log.write(
+            digest = fingerprint(self._call)
+            # Two incarnations with one id count as two crashes.
+            incarnation = str(self.entry.life)
+            crashes = self._context.crashes.record_crash(digest, incarnation, now_ms())
+            self._context.announce_crash(digest, incarnation)
+            self._context.log.write(
                 "backend crashed",
                 call_id=self._call.call_id,
-                backend_id=life,
-                fingerprint=mark,
+                backend_id=incarnation,
+                fingerprint=digest,
                 crashes=crashes,
             )
         finally:
--- a/src/quincespool/gateway/backends/exchange.py
+++ b/src/quincespool/gateway/backends/exchange.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server: a request, then its answer event by event."""
+"""A connection to a backend server that sends a request and reads its answer as events."""
 
 from __future__ import annotations
 
@@ -17,38 +17,39 @@
 
     from quincespool.gateway.model import Headers
 
-# A connection within a region is there in a few milliseconds, and a lost opening packet is sent
-# again only after a second. Nothing has been sent yet, so the call goes to another backend server;
-# each tenth of a second of waiting before that is lost to it.
-CONNECT_LIMIT_S = 0.3
-# Sent data that stays unacknowledged for longer has met a host that is gone or a cut link.
+# A connection within a region takes a few milliseconds, and a lost SYN packet is sent again only
+# after a second. No request has been sent yet, so the call can go to another backend server; each
+# 100 ms of waiting before that delays it.
+CONNECT_TIMEOUT_S = 0.3
+# Sent data that stays unacknowledged for longer shows that the host is down or the link is cut.
 UNACKNOWLEDGED_MS = 1_500
-# An engine that says nothing of its idle limit closes after a few seconds at the least.
-DEFAULT_IDLE_S = 2.0
-# A connection is given up this long before the backend server would close it, since a request that
-# crosses the closing ends as "may have run".
+# Assumed for an engine that does not state its idle timeout: none closes an idle connection earlier
+# than after a few seconds.
+DEFAULT_IDLE_TIMEOUT_S = 2.0
+# A connection is no longer used from this long before the backend server would close it, since a
+# request that is sent while it closes ends with the verdict "may have run".
 IDLE_MARGIN_S = 1.0
 
 
 class Head(NamedTuple):
-    """The head of the answer; header names are in lower case."""
+    """The status and headers of the answer; header names are in lower case."""
 
     status: int
     headers: Headers
 
 
-class Piece(NamedTuple):
-    """A piece of the body."""
+class AnswerChunk(NamedTuple):
+    """A part of the answer's body."""
 
     data: bytes
 
 
-class End(NamedTuple):
-    """The answer is whole."""
+class AnswerEnd(NamedTuple):
+    """The answer is complete."""
 
 
-class Broken(NamedTuple):
-    """The answer will never be whole.
+class AnswerBroken(NamedTuple):
+    """The answer ended early or is malformed, and will never be complete.
 
     Attributes:
       closed: Whether the backend server closed or reset the connection, as one that crashes does.
@@ -58,14 +59,14 @@
     closed: bool
 
 
-ExchangeEvent = Head | Piece | End | Broken
+ExchangeEvent = Head | AnswerChunk | AnswerEnd | AnswerBroken
 
 
 class ConnectError(Exception):
-    """No connection; nothing was sent.
+    """The connection could not be made or used; no request was sent.
 
     Attributes:
-      silent: Whether the host did not answer at all.
+      silent: Whether the host did not answer within the timeout.
     """
 
     def __init__(self, detail: str, *, silent: bool = False) -> None:
@@ -74,45 +75,50 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """A connection that carries one request at a time.
+    """An HTTP connection to a backend server that carries one request at a time.
 
     Attributes:
-      idle_until_s: Loop time until which it may be used again.
-      heard_s: Loop time at which something came last, or the request was sent.
+      idle_until_s: Event loop time until which it may be used again.
+      last_received_s: Event loop time at which data was last received or the last request was
+        sent, whichever is later.
     """
 
     def __init__(self) -> None:
         self.idle_until_s = 0.0
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
         self._transport: asyncio.Transport | None = None
         self._http = h11.Connection(h11.CLIENT)
         self._events: asyncio.Queue[ExchangeEvent] = asyncio.Queue()
         self._request: h11.Request | None = None
-        self._is_mine: Callable[[Headers], bool] = lambda _: True
-        self._skipping = False
-        self._whole = True
-        self._lost = False
+        self._matches_request: Callable[[Headers], bool] = lambda _: True
+        self._is_stale_answer = False
+        self._complete = True
+        self._closed = False
 
     @property
-    def owes_answer(self) -> bool:
-        """Whether the answer to a request that was sent is not whole."""
-        return not self._whole
+    def is_awaiting_answer(self) -> bool:
+        """Whether the answer to a request that was sent is not complete yet."""
+        return not self._complete
 
     @property
-    def usable(self) -> bool:
-        """Whether a further request may be sent."""
-        return self._whole and not self._lost and self._transport is not None
+    def is_reusable(self) -> bool:
+        """Whether another request may be sent."""
+        return self._complete and not self._closed and self._transport is not None
 
-    async def connect(self, address: str, *, limit_s: float = CONNECT_LIMIT_S) -> None:
-        """Connects.
+    async def connect(self, address: str, *, timeout_s: float = CONNECT_TIMEOUT_S) -> None:
+        """Connects to a backend server.
+
+        Args:
+          address: Host and port.
+          timeout_s: Time after which the attempt fails.
 
         Raises:
-          ConnectError: if that fails.
+          ConnectError: If the connection can't be made in time.
         """
         loop = asyncio.get_running_loop()
         try:
             host, port = split_address(address)
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: self, host, port)
         except (OSError, ValueError) as error:
             silent = isinstance(error, TimeoutError)
@@ -125,131 +131,139 @@
         headers: Headers,
         body: bytes,
         *,
-        is_mine: Callable[[Headers], bool],
+        matches_request: Callable[[Headers], bool],
     ) -> None:
         """Sends a request.
 
         Args:
           method: As the caller sent it.
           target: As the caller sent it.
-          headers: Without those that frame the body.
-          body: The whole body.
-          is_mine: Whether an answer with these headers is to this request.
+          headers: Without those that state the length of the body.
+          body: The complete body.
+          matches_request: Returns whether an answer with the given headers belongs to this request.
 
         Raises:
-          ConnectError: if it cannot be sent; nothing was.
+          ConnectError: If the request can't be sent; then no part of it was.
         """
-        if not self.usable or self._transport is None:
-            raise ConnectError("the connection was closed meanwhile")
+        if not self.is_reusable or self._transport is None:
+            raise ConnectError("the connection was closed before the request was sent")
         framing = [("content-length", str(len(body)))] if body or method != "GET" else []
         try:
             self._request = h11.Request(method=method, target=target, headers=[*headers, *framing])
             head = self._http.send(self._request) or b""
         except h11.LocalProtocolError as error:
-            raise ConnectError(f"not a request: {error}") from error
+            raise ConnectError(f"the request is not valid HTTP: {error}") from error
         data = self._http.send(h11.Data(data=body)) or b"" if body else b""
         self._http.send(h11.EndOfMessage())
-        self._is_mine = is_mine
-        self._whole = False
+        self._matches_request = matches_request
+        self._complete = False
         self._events = asyncio.Queue()
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         self._transport.write(head + data)
 
     async def next_event(self) -> ExchangeEvent:
-        """Returns what comes next of the answer; after `End` or `Broken` nothing does."""
+        """Waits for the next event; `AnswerEnd` or `AnswerBroken` is the last one of an answer."""
         return await self._events.get()
 
-    def keep(self, idle_s: float | None) -> None:
-        """Notes how long the connection may stay idle, as the backend server says."""
-        limit_s = DEFAULT_IDLE_S if idle_s is None else min(idle_s, 4 * DEFAULT_IDLE_S)
-        self.idle_until_s = asyncio.get_running_loop().time() + max(0.0, limit_s - IDLE_MARGIN_S)
+    def set_idle_timeout(self, idle_s: float | None) -> None:
+        """Sets how long the connection may stay idle.
+
+        Args:
+          idle_s: As stated by the backend server; None if it did not state it.
+        """
+        timeout_s = (
+            DEFAULT_IDLE_TIMEOUT_S if idle_s is None else min(idle_s, 4 * DEFAULT_IDLE_TIMEOUT_S)
+        )
+        self.idle_until_s = asyncio.get_running_loop().time() + max(0.0, timeout_s - IDLE_MARGIN_S)
 
     def close(self) -> None:
-        """Closes the connection, which makes the backend server drop a request on it."""
-        self._lost = True
+        """Closes the connection; the backend server then stops working on its request."""
+        self._closed = True
         if self._transport is not None:
             self._transport.abort()
 
-    def break_off(self, detail: str) -> None:
-        """Ends the answer under way: the backend server is known to be gone."""
-        self._break(detail, closed=True)
+    def abort_answer(self, detail: str) -> None:
+        """Ends the answer in progress, since the backend server is known to have stopped."""
+        self._on_broken_answer(detail, closed=True)
         self.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Limits how long a silent backend server is waited for."""
+        """Sets the time after which a connection with unacknowledged data is closed."""
         self._transport = cast("asyncio.Transport", transport)
         limit_silence(self._transport, unacknowledged_ms=UNACKNOWLEDGED_MS)
-        if self._lost:
+        if self._closed:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Takes what the backend server sends."""
-        if self._whole:
-            # Nothing was asked. A second answer to an earlier request would be taken for the answer
-            # to the next one; a connection that carries such bytes is not used again.
+        """Parses data that the backend server has sent."""
+        if self._complete:
+            # No request is in progress. A second answer to an earlier request would be taken for
+            # the answer to the next one, so a connection with such data is not used again.
             self.close()
             return
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         self._http.receive_data(data)
-        self._read()
+        self._read_events()
 
     def eof_received(self) -> bool:
-        """Takes the end of the connection, which may be the end of an answer without length."""
-        if not self._whole:
+        """Handles the end of the stream, which also ends an answer that states no length."""
+        if not self._complete:
             self._http.receive_data(b"")
-            self._read()
-        self._lost = True
+            self._read_events()
+        self._closed = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the answer if it is not whole."""
-        self._lost = True
-        self._break(f"connection lost: {exc!r}", closed=not isinstance(exc, TimeoutError))
-
-    def _read(self) -> None:
-        while not self._whole:
+        """Ends the answer if it is not complete."""
+        self._closed = True
+        self._on_broken_answer(
+            f"connection lost: {exc!r}", closed=not isinstance(exc, TimeoutError)
+        )
+
+    def _read_events(self) -> None:
+        while not self._complete:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 ended = self._http.trailing_data[1]
-                self._break(f"broken off or malformed: {error}", closed=ended)
+                self._on_broken_answer(f"answer ended early or malformed: {error}", closed=ended)
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
-            self._take(event)
+            self._on_http_event(event)
 
-    def _take(self, event: object) -> None:
+    def _on_http_event(self, event: object) -> None:
         if isinstance(event, h11.Response):
             headers = tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in event.headers)
-            self._skipping = not self._is_mine(headers)
-            if not self._skipping:
+            self._is_stale_answer = not self._matches_request(headers)
+            if not self._is_stale_answer:
                 self._events.put_nowait(Head(event.status_code, headers))
         elif isinstance(event, h11.Data):
-            if not self._skipping:
-                self._events.put_nowait(Piece(bytes(event.data)))
+            if not self._is_stale_answer:
+                self._events.put_nowait(AnswerChunk(bytes(event.data)))
         elif isinstance(event, h11.EndOfMessage):
-            self._end()
+            self._on_end_of_answer()
         elif isinstance(event, h11.ConnectionClosed):
-            self._break("closed before an answer", closed=True)
+            self._on_broken_answer("connection closed before an answer", closed=True)
 
-    def _end(self) -> None:
-        if self._skipping:
-            self._skip_late_answer()
+    def _on_end_of_answer(self) -> None:
+        if self._is_stale_answer:
+            self._skip_stale_answer()
             return
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         reusable = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         extra = bool(self._http.trailing_data[0])
-        self._whole = True
-        if reusable and not unsent and not extra and not self._lost:
+        self._complete = True
+        if reusable and not unsent and not extra and not self._closed:
             self._http.start_next_cycle()
         else:
-            # Bytes beyond the answer, or a body that the backend server has not read: what follows
-            # on this connection belongs to no request.
+            # Data after the answer, or a request body that the backend server has not read: what
+            # comes next on this connection can't be matched to a request.
             self.close()
-        self._events.put_nowait(End())
+        self._events.put_nowait(AnswerEnd())
 
-    def _skip_late_answer(self) -> None:
-        """Goes on reading after an answer to an earlier request of this connection."""
+    def _skip_stale_answer(self) -> None:
+        """Resets the parser after an answer to an earlier request, to read the one that is due."""
         rest = self._http.trailing_data[0]
         self._http = h11.Connection(h11.CLIENT)
         assert self._request is not None
@@ -260,9 +274,9 @@
             self._http.send(h11.EndOfMessage())
         self._http.receive_data(rest)
 
-    def _break(self, detail: str, *, closed: bool) -> None:
-        if self._whole:
+    def _on_broken_answer(self, detail: str, *, closed: bool) -> None:
+        if self._complete:
             return
-        self._whole = True
-        self._events.put_nowait(Broken(detail, closed))
+        self._complete = True
+        self._events.put_nowait(AnswerBroken(detail, closed))
         self.close()
--- a/src/quincespool/gateway/backends/pool.py
+++ b/src/quincespool/gateway/backends/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers."""
+"""A pool of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -14,80 +14,80 @@
 
 
 class ConnectionPool:
-    """Connections by backend server, the one used last first."""
+    """Idle and busy connections by backend server; the most recently used one is reused first."""
 
     def __init__(self, *, on_open: Callable[[], None]) -> None:
         self._idle: dict[str, list[BackendConnection]] = {}
         self._busy: dict[str, set[BackendConnection]] = {}
         self._on_open = on_open
 
-    async def take(self, entry: BackendEntry) -> BackendConnection:
-        """Returns a connection that nothing else uses.
+    async def acquire(self, entry: BackendEntry) -> BackendConnection:
+        """Returns a connection for exclusive use, an idle one or else a new one.
 
         Raises:
-          ConnectError: if none can be made.
+          ConnectError: If no connection can be made.
         """
         connection = self._take_idle(entry.backend_id) or await self._open(entry.address)
         self._busy.setdefault(entry.backend_id, set()).add(connection)
         return connection
 
-    def give_back(
+    def release(
         self, entry: BackendEntry, connection: BackendConnection, idle_s: float | None
     ) -> None:
-        """Takes a connection back whose answer is whole, if it may be used again."""
-        self._release(entry, connection)
-        if not connection.usable:
+        """Puts a connection with a complete answer back, or closes it if it is not reusable."""
+        self._remove_busy(entry, connection)
+        if not connection.is_reusable:
             connection.close()
             return
-        connection.keep(idle_s)
+        connection.set_idle_timeout(idle_s)
         self._idle.setdefault(entry.backend_id, []).append(connection)
 
     def discard(self, entry: BackendEntry, connection: BackendConnection) -> None:
-        """Closes a connection whose answer is not whole."""
-        self._release(entry, connection)
+        """Closes a connection whose answer is not complete."""
+        self._remove_busy(entry, connection)
         connection.close()
 
-    def break_off(self, backend_id: str, detail: str) -> None:
-        """Ends what is under way at a backend server that will answer nothing of it any more."""
-        self.drop(backend_id)
+    def abort_answers(self, backend_id: str, detail: str) -> None:
+        """Ends all answers in progress at a backend server that will not complete them."""
+        self.close_idle(backend_id)
         for connection in self._busy.pop(backend_id, ()):
-            connection.break_off(detail)
+            connection.abort_answer(detail)
 
-    def silences_s(self) -> dict[str, float]:
-        """Returns for how long nothing has come from each backend server that owes an answer."""
+    def silent_for_s(self) -> dict[str, float]:
+        """Returns for how many seconds each backend server with an answer due has sent nothing."""
         now_s = asyncio.get_running_loop().time()
-        heard_s = {
-            backend_id: [one.heard_s for one in busy if one.owes_answer]
+        received_s = {
+            backend_id: [one.last_received_s for one in busy if one.is_awaiting_answer]
             for backend_id, busy in self._busy.items()
         }
-        return {backend_id: now_s - max(times) for backend_id, times in heard_s.items() if times}
+        return {backend_id: now_s - max(times) for backend_id, times in received_s.items() if times}
 
-    def connected(self) -> frozenset[str]:
-        """Returns the backend servers to which a kept connection is idle."""
+    def idle_backend_ids(self) -> frozenset[str]:
+        """Returns the backend servers to which there is an idle connection that may be used."""
         now_s = asyncio.get_running_loop().time()
         return frozenset(
             backend_id
             for backend_id, idle in self._idle.items()
-            if any(one.usable and now_s < one.idle_until_s for one in idle)
+            if any(one.is_reusable and now_s < one.idle_until_s for one in idle)
         )
 
-    def drop(self, backend_id: str) -> None:
-        """Closes the idle connections to a backend server that has gone or is suspect."""
+    def close_idle(self, backend_id: str) -> None:
+        """Closes the idle connections to a backend server that has stopped or may have."""
         for connection in self._idle.pop(backend_id, []):
             connection.close()
 
-    def close_stale(self) -> None:
-        """Closes the connections that were idle for too long."""
+    def close_expired(self) -> None:
+        """Closes the connections whose idle timeout is over."""
         now_s = asyncio.get_running_loop().time()
         for backend_id, idle in list(self._idle.items()):
-            kept = []
+            remaining = []
             for connection in idle:
-                if connection.usable and now_s < connection.idle_until_s:
-                    kept.append(connection)
+                if connection.is_reusable and now_s < connection.idle_until_s:
+                    remaining.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self._idle[backend_id] = kept
+            if remaining:
+                self._idle[backend_id] = remaining
             else:
                 del self._idle[backend_id]
 
@@ -96,7 +96,7 @@
         idle = self._idle.get(backend_id, [])
         while idle:
             connection = idle.pop()
-            if connection.usable and now_s < connection.idle_until_s:
+            if connection.is_reusable and now_s < connection.idle_until_s:
                 return connection
             connection.close()
         return None
@@ -111,7 +111,7 @@
         self._on_open()
         return connection
 
-    def _release(self, entry: BackendEntry, connection: BackendConnection) -> None:
+    def _remove_busy(self, entry: BackendEntry, connection: BackendConnection) -> None:
         busy = self._busy.get(entry.backend_id)
         if busy is None:
             return
--- a/src/quincespool/gateway/backends/reports.py
+++ b/src/quincespool/gateway/backends/reports.py
@@ -1,8 +1,8 @@
-"""Tells the other daemons of calls that go wrong at a backend server, and takes in what they tell.
+"""Reports failed calls at a backend server to the other daemons, and applies their reports.
 
-What goes wrong without it: an engine goes dark, and each daemon loses calls of its own there before
-it believes so. One notices `backend silent` for one backend server at one daemon after the other,
-for as long as its entry stands.
+Without it, each daemon loses calls of its own at an engine that is down before it avoids that
+engine. The symptom is the log line `backend silent` for one backend server at one daemon after
+another, for as long as the backend server's entry exists.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.table import Backends
+    from quincespool.gateway.backends.backend_table import BackendTable
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.model import BackendEntry
     from quincespool.net.metrics import Metrics
 
 
 class BackendReports:
-    """Reports of one daemon and of the others."""
+    """Sends the reports of one daemon and applies those of the others."""
 
     def __init__(
         self,
         member_id: str,
         *,
-        backends: Backends,
+        backends: BackendTable,
         log: DecisionLog,
         metrics: Metrics,
         send: Callable[[BackendReport], None],
@@ -43,49 +43,61 @@
         self._metrics = metrics
         self._send = send
 
-    def report(self, entry: BackendEntry, reason: str) -> None:
-        """Takes note of a call of this daemon that went wrong, and tells the others if it helps."""
-        tell = self._backends.is_failure_worth_telling(entry.backend_id, self._member_id, now_ms())
-        self._note(entry.life, self._member_id, reason)
-        if tell:
-            self._tell(entry, None, reason)
-
-    def report_late(self, entry: BackendEntry, late_ms: int) -> None:
-        """Takes note of an answer that should have begun, and tells the others if it helps."""
-        if self._backends.note_late(entry.life, self._member_id, late_ms, now_ms()):
-            self._tell(entry, late_ms, "overdue")
-
-    def take_speed_to_tell(self) -> Answer | None:
-        """Returns what a heartbeat is to tell of an engine's speed; None if nothing."""
-        return self._backends.take_speed_to_tell()
-
-    def hear_speed(self, backend_id: str, event_ms: float) -> None:
-        """Takes in what a heartbeat tells of an engine's speed."""
-        self._backends.hear_speed(Answer(backend_id, event_ms))
-
-    def hear(self, sender: str, told: BackendReport) -> None:
-        """Takes in what another daemon tells."""
-        life = BackendLife(told.backend_id, read_optional(told.born_ms))
-        late_ms = read_optional(told.late_ms)
+    def report_failure(self, entry: BackendEntry, reason: str) -> None:
+        """Records a failed call of this daemon, and reports it to the others if they need it.
+
+        Args:
+          entry: The backend server.
+          reason: For the log and metrics.
+        """
+        should_report = self._backends.should_report_failure(
+            entry.backend_id, self._member_id, now_ms()
+        )
+        self._record_failure(entry.life, self._member_id, reason)
+        if should_report:
+            self._send_report(entry, None, reason)
+
+    def report_overdue(self, entry: BackendEntry, late_ms: int) -> None:
+        """Records an answer that has not begun in time, and reports it if the others need it.
+
+        Args:
+          entry: The backend server.
+          late_ms: Milliseconds since the call was sent.
+        """
+        if self._backends.record_overdue(entry.life, self._member_id, late_ms, now_ms()):
+            self._send_report(entry, late_ms, "overdue")
+
+    def take_speed_to_announce(self) -> Answer | None:
+        """Returns the engine speed to send in the next heartbeat; None if there is none."""
+        return self._backends.take_speed_to_announce()
+
+    def apply_speed(self, backend_id: str, event_ms: float) -> None:
+        """Applies an engine speed from another daemon's heartbeat."""
+        self._backends.record_reported_speed(Answer(backend_id, event_ms))
+
+    def apply_report(self, sender: str, message: BackendReport) -> None:
+        """Applies a report of another daemon."""
+        incarnation = BackendLife(message.backend_id, read_optional(message.born_ms))
+        late_ms = read_optional(message.late_ms)
         if late_ms is None:
-            self._note(life, sender, "told")
+            self._record_failure(incarnation, sender, "told")
         else:
-            self._backends.note_late(life, sender, late_ms, now_ms())
+            self._backends.record_overdue(incarnation, sender, late_ms, now_ms())
 
-    def _tell(self, entry: BackendEntry, late_ms: int | None, reason: str) -> None:
+    def _send_report(self, entry: BackendEntry, late_ms: int | None, reason: str) -> None:
         self._metrics.count("gateway_backend_reports_total", reason=reason)
         born_ms = write_optional(entry.born_ms)
         self._send(BackendReport(entry.backend_id, born_ms, write_optional(late_ms)))
 
-    def _note(self, life: BackendLife, reporter: str, reason: str) -> None:
-        hold_ms = self._backends.note_failure(life, reporter, now_ms())
+    def _record_failure(self, incarnation: BackendLife, reporter: str, reason: str) -> None:
+        hold_ms = self._backends.record_reported_failure(incarnation, reporter, now_ms())
         if hold_ms is None:
             return
         self._metrics.count("gateway_outliers_total")
         self._log.write(
             "backend passed over",
-            backend_id=life.backend_id,
-            born_ms=life.born_ms,
+            backend_id=incarnation.backend_id,
+            born_ms=incarnation.born_ms,
             last_reporter=reporter,
             last_reason=reason,
             hold_ms=hold_ms,
--- a/src/quincespool/gateway/callers/front.py
+++ b/src/quincespool/gateway/callers/front.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quincespool.gateway.backends.attempt import Whole
+from quincespool.gateway.backends.attempt import CompleteAnswer
 from quincespool.gateway.backends.crashes import fingerprint
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.model import FAILED
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from quincespool.gateway.accounts.limits import AccountLimits
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.callers.plain import PlainCalls
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.model import Call
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        services: Services,
+        services: AttemptContext,
         *,
         routes: RouteTable,
         limits: AccountLimits,
@@ -201,7 +201,7 @@
       verdict: Whether the call may have run, of an answer of the gateway's own; None without one.
     """
 
-    def __init__(self, connection: Connection, call: Call, services: Services) -> None:
+    def __init__(self, connection: Connection, call: Call, services: AttemptContext) -> None:
         self.outcome = ""
         self.status = 0
         self.verdict: Verdict | None = None
@@ -221,8 +221,8 @@
         self.outcome = "whole"
         self._connection.end_stream()
 
-    def whole(self, answer: Whole | Refusal) -> None:
-        if not isinstance(answer, Whole):
+    def whole(self, answer: CompleteAnswer | Refusal) -> None:
+        if not isinstance(answer, CompleteAnswer):
             self.refuse(answer)
             return
         self.status = answer.status
@@ -241,7 +241,7 @@
         self._connection.respond(_refusal_response(self._services, refusal, self._call.call_id))
 
 
-def _refusal_response(services: Services, refusal: Refusal, call_id: str) -> HttpResponse:
+def _refusal_response(services: AttemptContext, refusal: Refusal, call_id: str) -> HttpResponse:
     body = msgspec.json.encode(
         {"error": refusal.reason, "may_have_run": refusal.verdict is not Verdict.NOT_RUN}
     )
--- a/src/quincespool/gateway/callers/plain.py
+++ b/src/quincespool/gateway/callers/plain.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from quincespool.gateway.backends.attempt import AnswerLost
 from quincespool.gateway.backends.attempt import Attempt
-from quincespool.gateway.backends.attempt import Lost
+from quincespool.gateway.backends.attempt import CompleteAnswer
 from quincespool.gateway.backends.attempt import NotRun
-from quincespool.gateway.backends.attempt import Whole
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.model import CallKind
 from quincespool.gateway.model import Refusal
@@ -16,7 +16,7 @@
 from quincespool.gateway.model import not_run
 
 if TYPE_CHECKING:
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Decision
@@ -36,10 +36,12 @@
 class PlainCalls:
     """Serves plain calls."""
 
-    def __init__(self, services: Services) -> None:
+    def __init__(self, services: AttemptContext) -> None:
         self._services = services
 
-    async def run(self, call: Call, decision: Decision, *, until_ms: int) -> Whole | Refusal:
+    async def run(
+        self, call: Call, decision: Decision, *, until_ms: int
+    ) -> CompleteAnswer | Refusal:
         """Returns the answer of a backend server, or the gateway's own final answer.
 
         Args:
@@ -50,13 +52,13 @@
         tried: set[str] = set()
         sent = 0
         refusals = 0
-        outcome: Whole | NotRun | Lost = NotRun("no_backend", sent=False)
+        outcome: CompleteAnswer | NotRun | AnswerLost = NotRun("no_backend", sent=False)
         while sent < decision.route.max_attempts and refusals < MAX_REFUSALS:
             entry = self._services.backends.choose(
                 decision.service.name,
                 now_ms=now_ms(),
                 exclude=frozenset(tried),
-                connected=self._services.pool.connected(),
+                connected=self._services.pool.idle_backend_ids(),
             )
             if entry is None or now_ms() >= until_ms:
                 break
@@ -65,7 +67,7 @@
             result = await self._attempt(call, decision, entry, until_ms=until_ms, last=last)
             if isinstance(result, NotRun):
                 refusals += 1
-                outcome = outcome if isinstance(outcome, Lost) else result
+                outcome = outcome if isinstance(outcome, AnswerLost) else result
                 continue
             sent += 1
             outcome = result
@@ -75,7 +77,7 @@
 
     async def _attempt(
         self, call: Call, decision: Decision, entry: BackendEntry, *, until_ms: int, last: bool
-    ) -> Whole | NotRun | Lost:
+    ) -> CompleteAnswer | NotRun | AnswerLost:
         left_ms = until_ms - now_ms()
         limit_ms = left_ms
         if decision.route.kind is CallKind.IDEMPOTENT and not last:
@@ -98,23 +100,25 @@
                 return attempt.timed_out()
 
 
-async def _read_whole(attempt: Attempt) -> Whole | NotRun | Lost:
+async def _read_whole(attempt: Attempt) -> CompleteAnswer | NotRun | AnswerLost:
     head = await attempt.head()
-    if isinstance(head, NotRun | Lost):
+    if isinstance(head, NotRun | AnswerLost):
         return head
     body = await attempt.body()
-    if isinstance(body, Lost):
+    if isinstance(body, AnswerLost):
         return body
-    attempt.settle(sound=head.status < 500)
-    return Whole(head.status, head.headers, body)
+    attempt.complete(is_valid=head.status < 500)
+    return CompleteAnswer(head.status, head.headers, body)
 
 
-def _is_sound(result: Whole | Lost) -> bool:
-    return isinstance(result, Whole) and result.status < 500
+def _is_sound(result: CompleteAnswer | AnswerLost) -> bool:
+    return isinstance(result, CompleteAnswer) and result.status < 500
 
 
-def _final(outcome: Whole | NotRun | Lost, *, timed_out: bool) -> Whole | Refusal:
-    if isinstance(outcome, Whole):
+def _final(
+    outcome: CompleteAnswer | NotRun | AnswerLost, *, timed_out: bool
+) -> CompleteAnswer | Refusal:
+    if isinstance(outcome, CompleteAnswer):
         return outcome
     if isinstance(outcome, NotRun):
         retry_ms = FULL_RETRY_MS if outcome.sent else NO_BACKEND_RETRY_MS
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from quincespool.gateway.backends.attempt import Services
-from quincespool.gateway.backends.crashes import CrashWatch
+from quincespool.gateway.backends.attempt import AttemptContext
+from quincespool.gateway.backends.backend_table import BackendTable
+from quincespool.gateway.backends.crashes import CrashHistory
 from quincespool.gateway.backends.pool import ConnectionPool
-from quincespool.gateway.backends.quiet import QuietBackends
+from quincespool.gateway.backends.quiet import QuietBackendProbe
 from quincespool.gateway.backends.reports import BackendReports
-from quincespool.gateway.backends.table import Backends
 from quincespool.gateway.callers.caller_limits import connection_limits
 from quincespool.gateway.callers.front import Front
 from quincespool.gateway.callers.http_port import HttpPort
@@ -106,12 +106,12 @@
     def _make_beliefs(self) -> None:
         settings = self._settings
         self._routes = RouteTable(store_prompt=lambda: self._store_health.is_prompt)
-        self._backends = Backends(zone=settings.zone, seed=self._incarnation)
+        self._backends = BackendTable(zone=settings.zone, seed=self._incarnation)
         self._pool = ConnectionPool(
             on_open=lambda: self._metrics.count("gateway_backend_connections_total")
         )
         self._members = Members(settings.member_id)
-        self._crashes = CrashWatch()
+        self._crashes = CrashHistory()
         self._backend_reports = BackendReports(
             settings.member_id,
             backends=self._backends,
@@ -119,7 +119,7 @@
             metrics=self._metrics,
             send=self._tell_report,
         )
-        self._services = Services(
+        self._services = AttemptContext(
             self._backends,
             self._pool,
             self._wire,
@@ -254,7 +254,7 @@
             links=self._links,
             ownership=self._ownership,
             turns=self._parts.turns,
-            quiet_backends=QuietBackends(self._services),
+            quiet_backends=QuietBackendProbe(self._services),
             renewals=Renewals(
                 store_retention_ms=int(1_000 * settings.store_retention_s), metrics=self._metrics
             ),
@@ -373,7 +373,7 @@
             "draining": self._presence.draining,
             "generation": self._ownership.generation,
             "account_levels": self._parts.limits.dump(),
-            "engine_slowness": self._backends.slowness(),
+            "engine_slowness": self._backends.slowness_by_engine(),
             "turn_waits_ms": self._parts.admission.dump(),
             "partitions": [one.dump() for one in self._ownership.owned.values()],
             **self._beliefs.dump(),
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.crashes import CrashWatch
+    from quincespool.gateway.backends.crashes import CrashHistory
     from quincespool.gateway.backends.reports import BackendReports
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.table import Members
@@ -53,7 +53,7 @@
         beliefs: Beliefs,
         ownership: Ownership,
         partition_count: int,
-        crashes: CrashWatch,
+        crashes: CrashHistory,
         backend_reports: BackendReports,
         log: DecisionLog,
         on_silent: Callable[[Daemon], None],
@@ -189,7 +189,7 @@
 
     def _send_beat(self, daemons: list[Daemon], *, generation: int | None = None) -> None:
         self._sequence += 1
-        speed = self._backend_reports.take_speed_to_tell()
+        speed = self._backend_reports.take_speed_to_announce()
         beat = Heartbeat(
             incarnation=self._own.incarnation,
             sequence=self._sequence,
@@ -232,10 +232,10 @@
 
     def _take_datagram(self, sender: str, message: Any) -> None:
         if isinstance(message, CrashNotice):
-            self._crashes.note(message.fingerprint, message.backend_id, now_ms())
+            self._crashes.record_crash(message.fingerprint, message.backend_id, now_ms())
             return
         if isinstance(message, BackendReport):
-            self._backend_reports.hear(sender, message)
+            self._backend_reports.apply_report(sender, message)
             return
         if isinstance(message, SilenceNotice):
             self._hear_silence(sender, message)
@@ -249,7 +249,7 @@
             # It may not have heard of this daemon for as long.
             self.greet(self._members.entries[sender])
         if message.engine_id:
-            self._backend_reports.hear_speed(message.engine_id, message.engine_event_us / 1_000)
+            self._backend_reports.apply_speed(message.engine_id, message.engine_event_us / 1_000)
         for claim in message.claims:
             self._ownership.yield_to(Partition(claim.topic, claim.number), claim.epoch)
         if message.generation > self._ownership.generation:
--- a/src/quincespool/gateway/store/beliefs.py
+++ b/src/quincespool/gateway/store/beliefs.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quincespool.gateway.backends.table import EntryNews
+from quincespool.gateway.backends.backend_table import EntryChange
 from quincespool.gateway.store.follower import Follower
 from quincespool.policy.polling import entries_interval_ms
 from quincespool.policy.polling import members_pause_ms
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from quincespool.gateway.backends.backend_table import BackendTable
     from quincespool.gateway.backends.pool import ConnectionPool
-    from quincespool.gateway.backends.table import Backends
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.messages import Heartbeat
@@ -120,7 +120,7 @@
         store_health: StoreHealth,
         wire: Wire,
         routes: RouteTable,
-        backends: Backends,
+        backends: BackendTable,
         pool: ConnectionPool,
         members: Members,
         log: DecisionLog,
@@ -210,10 +210,10 @@
 
     def expire(self) -> None:
         """Forgets what was not renewed in time."""
-        for backend_id in self._backends.expire(self._now_ms()):
-            self._pool.drop(backend_id)
+        for backend_id in self._backends.expire_missing(self._now_ms()):
+            self._pool.close_idle(backend_id)
             self._log.write("backend lapsed", backend_id=backend_id)
-        self._pool.close_stale()
+        self._pool.close_expired()
 
     def _take_configuration(self, record: KeyedRecord) -> None:
         if record.key != self._wire.CONFIGURATION_KEY or record.value is None:
@@ -259,11 +259,11 @@
 
     def _take_backend(self, entry: BackendEntry, offset: int) -> None:
         news = self._backends.put(entry)
-        if news is EntryNews.NOTHING:
+        if news is EntryChange.UNCHANGED:
             return
-        if news is EntryNews.NEW_LIFE:
+        if news is EntryChange.NEW_INCARNATION:
             # Nobody answers any more what was sent to the last one.
-            self._pool.break_off(entry.backend_id, "the backend server has started again")
+            self._pool.abort_answers(entry.backend_id, "the backend server has started again")
         self._log.write(
             "backend entry",
             backend_id=entry.backend_id,
@@ -277,7 +277,7 @@
 
     def _remove_backend(self, backend_id: str, offset: int) -> None:
         now_ms, lapses_until_ms = self._now_ms(), self._store_health.lapses_until_ms
-        self._backends.remove(backend_id, now_ms=now_ms, lapses_until_ms=lapses_until_ms)
+        self._backends.remove(backend_id, now_ms=now_ms, grace_until_ms=lapses_until_ms)
         self._log.write(
             "backend removed",
             backend_id=backend_id,
@@ -287,7 +287,7 @@
 
     def _list_backends(self, keys: list[str]) -> None:
         self._backends.retain(
-            keys, now_ms=self._now_ms(), lapses_until_ms=self._store_health.lapses_until_ms
+            keys, now_ms=self._now_ms(), grace_until_ms=self._store_health.lapses_until_ms
         )
 
     def _take_daemon(self, record: KeyedRecord) -> None:
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_parts.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.table import Members
@@ -58,7 +58,7 @@
         store: Store,
         hedged: HedgedCalls,
         store_health: StoreHealth,
-        services: Services,
+        services: AttemptContext,
         members: Members,
         routes: RouteTable,
         beliefs: Beliefs,
--- a/src/quincespool/gateway/turns/runner.py
+++ b/src/quincespool/gateway/turns/runner.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.callers.reply import Reply
     from quincespool.gateway.model import BackendLife
     from quincespool.gateway.model import Call
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        services: Services,
+        services: AttemptContext,
         *,
         settle_elsewhere: SettleElsewhere,
         finder: TurnFinder,
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -8,12 +8,12 @@
 
 from quincespool.gateway.backends.attempt import BACKEND_FULL
 from quincespool.gateway.backends.attempt import BACKEND_REPLACED
+from quincespool.gateway.backends.attempt import AnswerLost
 from quincespool.gateway.backends.attempt import Attempt
-from quincespool.gateway.backends.attempt import Lost
 from quincespool.gateway.backends.attempt import NotRun
-from quincespool.gateway.backends.exchange import Broken
-from quincespool.gateway.backends.exchange import End
-from quincespool.gateway.backends.exchange import Piece
+from quincespool.gateway.backends.exchange import AnswerBroken
+from quincespool.gateway.backends.exchange import AnswerChunk
+from quincespool.gateway.backends.exchange import AnswerEnd
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.model import not_run
@@ -28,7 +28,7 @@
 from quincespool.policy.urgency import turn_priority
 
 if TYPE_CHECKING:
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.callers.reply import Reply
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import BackendLife
@@ -56,7 +56,7 @@
       admission: Is told how turns fare.
     """
 
-    attempts: Services
+    attempts: AttemptContext
     records: RecordServices
     admission: ProgramAdmission
 
@@ -104,7 +104,7 @@
         )
         tried: set[str] = set()
         entry: BackendEntry | None = None
-        failed: NotRun | Lost = NotRun("no_backend", sent=False)
+        failed: NotRun | AnswerLost = NotRun("no_backend", sent=False)
         self._records.begin()
         while (run := tries.next_run(self._until_ms - now_ms())).place is not Place.NOWHERE:
             if run.place is Place.ANOTHER:
@@ -119,7 +119,7 @@
             if result is None:
                 return
             failed = result
-            if isinstance(failed, Lost) and not self._progress.can_resume:
+            if isinstance(failed, AnswerLost) and not self._progress.can_resume:
                 break
             tries.note(_tried(failed), run.place)
             self._note_failed_run(failed, entry)
@@ -131,28 +131,28 @@
             now_ms=now_ms(),
             exclude=exclude,
             prefer=self.engine,
-            connected=self._services.pool.connected(),
+            connected=self._services.pool.idle_backend_ids(),
         )
 
-    async def _attempt_if_usable(self, entry: BackendEntry) -> NotRun | Lost | None:
+    async def _attempt_if_usable(self, entry: BackendEntry) -> NotRun | AnswerLost | None:
         """Sends the turn, unless the engine has begun to leave since it was chosen."""
-        if not self._services.backends.is_usable(entry.life):
+        if not self._services.backends.accepts_calls(entry.life):
             return NotRun("backend_gone", sent=False)
         return await self._attempt(entry)
 
-    def _refusal(self, failed: NotRun | Lost) -> Refusal:
+    def _refusal(self, failed: NotRun | AnswerLost) -> Refusal:
         """Returns the final answer for a turn that no engine answers whole."""
         if self._has_head:
             return may_have_run("stream_broken")
-        if self._may_have_run or isinstance(failed, Lost):
+        if self._may_have_run or isinstance(failed, AnswerLost):
             return may_have_run("answer_lost")
         if failed.reason == BACKEND_FULL:
             self._admission.note_full(self._terms)
             return not_run(failed.reason, retry_after_ms=FULL_RETRY_MS)
         return not_run(failed.reason, retry_after_ms=NO_BACKEND_RETRY_MS)
 
-    def _note_failed_run(self, failed: NotRun | Lost, entry: BackendEntry) -> None:
-        if not self._terms.is_resumable or not isinstance(failed, Lost):
+    def _note_failed_run(self, failed: NotRun | AnswerLost, entry: BackendEntry) -> None:
+        if not self._terms.is_resumable or not isinstance(failed, AnswerLost):
             return
         self._progress.begin_run()
         self._services.metrics.count("gateway_streams_broken_total", route=self._terms.route)
@@ -176,7 +176,7 @@
         """Settles a turn that has not ended whole."""
         self._records.close()
 
-    async def _attempt(self, entry: BackendEntry) -> NotRun | Lost | None:
+    async def _attempt(self, entry: BackendEntry) -> NotRun | AnswerLost | None:
         call, turn = self._call, self._turn
         history = b""
         if self._terms.keeps_history:
@@ -201,14 +201,14 @@
             if isinstance(head, NotRun):
                 self._may_have_run = had_run
                 return head
-            if isinstance(head, Lost):
+            if isinstance(head, AnswerLost):
                 return head
             self.engine = entry.life
             if not had_run:
                 self._admission.note_begin(self._terms, now_ms() - self._began_ms)
             return await self._relay(attempt, head)
 
-    async def _relay(self, attempt: Attempt, head: AnswerHead) -> Lost | None:
+    async def _relay(self, attempt: Attempt, head: AnswerHead) -> AnswerLost | None:
         began_ms, seen = now_ms(), self._events.event_count
         await self._records.await_start()
         if head.status != 200:
@@ -216,21 +216,21 @@
         self._begin_answer(head)
         while True:
             event = await attempt.next_event()
-            if isinstance(event, Piece):
+            if isinstance(event, AnswerChunk):
                 lost = await self._take_piece(attempt, event.data)
                 if lost is not None:
                     return lost
-            elif isinstance(event, End):
-                attempt.settle(sound=True)
+            elif isinstance(event, AnswerEnd):
+                attempt.complete(is_valid=True)
                 events = self._events.event_count - seen
-                self._services.backends.streamed(attempt.entry, events, now_ms() - began_ms)
+                self._services.backends.record_stream(attempt.entry, events, now_ms() - began_ms)
                 if self._progress.rest:
                     self._reply.piece(self._progress.rest)
                 break
-            elif isinstance(event, Broken):
+            elif isinstance(event, AnswerBroken):
                 if self._events.partial:
                     self._records.note_cut_event()
-                return attempt.lose(event)
+                return attempt.fail(event)
         await self._end_whole(attempt.entry)
         return None
 
@@ -240,26 +240,26 @@
             self._has_head = True
             self._reply.head(head.status, head.headers)
 
-    async def _relay_failure(self, attempt: Attempt, head: AnswerHead) -> Lost | None:
+    async def _relay_failure(self, attempt: Attempt, head: AnswerHead) -> AnswerLost | None:
         body = await attempt.body()
-        if isinstance(body, Lost):
+        if isinstance(body, AnswerLost):
             return body
-        attempt.settle(sound=head.status < 500)
+        attempt.complete(is_valid=head.status < 500)
         if self._has_head:
             # What the caller has got is no part of this answer.
-            return Lost(f"status {head.status} behind a stream")
+            return AnswerLost(f"status {head.status} behind a stream")
         self._reply.head(head.status, head.headers)
         self._reply.piece(body)
         self._reply.end()
         return None
 
-    async def _take_piece(self, attempt: Attempt, data: bytes) -> Lost | None:
+    async def _take_piece(self, attempt: Attempt, data: bytes) -> AnswerLost | None:
         """Hands out a piece: as it comes, or its whole events if the stream may be resumed."""
         if self._terms.is_resumable:
             try:
                 events = self._progress.take(data)
             except GapError as error:
-                return attempt.lose(Broken(str(error), closed=False))
+                return attempt.fail(AnswerBroken(str(error), closed=False))
             data = b"".join(event.raw for event in events)
             if not data:
                 return None
@@ -290,8 +290,8 @@
         )
 
 
-def _tried(failed: NotRun | Lost) -> Tried:
-    if isinstance(failed, Lost):
+def _tried(failed: NotRun | AnswerLost) -> Tried:
+    if isinstance(failed, AnswerLost):
         return Tried.LOST
     if not failed.sent:
         return Tried.UNREACHABLE
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/upkeep.py
@@ -11,7 +11,7 @@
 from quincespool.policy.silence import QUIET_MS
 
 if TYPE_CHECKING:
-    from quincespool.gateway.backends.quiet import QuietBackends
+    from quincespool.gateway.backends.quiet import QuietBackendProbe
     from quincespool.gateway.members.links import Links
     from quincespool.gateway.members.presence import Presence
     from quincespool.gateway.members.table import Members
@@ -43,7 +43,7 @@
         links: Links,
         ownership: Ownership,
         turns: TurnRunner,
-        quiet_backends: QuietBackends,
+        quiet_backends: QuietBackendProbe,
         renewals: Renewals,
         trimming: Trimming,
     ) -> None:
@@ -71,7 +71,7 @@
         return max(SILENCE_CHECK_MS, min(due_ms, ASK_MS))
 
     def _backend_silence_ms(self) -> int:
-        return max(SILENCE_CHECK_MS, min(self._quiet_backends.due_ms(), QUIET_MS))
+        return max(SILENCE_CHECK_MS, min(self._quiet_backends.next_check_in_ms(), QUIET_MS))
 
     def _renewal_interval_ms(self) -> int:
         return min(EXPIRY_INTERVAL_MS, self._renewals.interval_ms)
--- a/tests/gateway/backends/test_crashes.py
+++ b/tests/gateway/backends/test_crashes.py
@@ -8,41 +8,41 @@
 import pytest
 
 from quincespool.gateway.backends.attempt import CRASH_CHECK_S
+from quincespool.gateway.backends.crashes import CRASH_MEMORY_MS
 from quincespool.gateway.backends.crashes import CRASHES_TO_REFUSE
-from quincespool.gateway.backends.crashes import REMEMBER_MS
-from quincespool.gateway.backends.crashes import CrashWatch
+from quincespool.gateway.backends.crashes import CrashHistory
 from tests.gateway.gateway_cluster import GatewayCluster
 
 
 def test_a_request_is_refused_after_its_crashes() -> None:
-    watch = CrashWatch()
+    history = CrashHistory()
     for number in range(CRASHES_TO_REFUSE):
-        assert not watch.is_refused("m", 0)
-        watch.note("m", f"e{number}", 0)
+        assert not history.is_refused("m", 0)
+        history.record_crash("m", f"e{number}", 0)
 
-    assert watch.is_refused("m", 0)
-    assert not watch.is_refused("m", REMEMBER_MS + 1)
+    assert history.is_refused("m", 0)
+    assert not history.is_refused("m", CRASH_MEMORY_MS + 1)
 
 
-def test_an_answer_clears_a_bystander() -> None:
-    """Symptom: a harmless request is refused everywhere.
+def test_an_answer_clears_the_crashes_of_a_request() -> None:
+    """A harmless request that runs at several crashing backend servers must not be refused.
 
-    Events: backend servers crash one after the other, each time while a popular request is there.
-    Cause: being there is taken for the cause; a bystander is answered in between.
+    Backend servers crash one after another, each while the same popular request runs there. The
+    request is answered in between, which shows that it is not the cause.
     """
-    watch = CrashWatch()
+    history = CrashHistory()
     for number in range(5):
-        watch.note("popular", f"e{number}", 0)
-        watch.clear("popular")
+        history.record_crash("popular", f"e{number}", 0)
+        history.clear("popular")
 
-    assert not watch.is_refused("popular", 0)
+    assert not history.is_refused("popular", 0)
 
 
 async def test_all_daemons_refuse_a_request_that_crashed_its_backends() -> None:
-    """Symptom: one request takes all backend servers down, again and again.
+    """One request must not crash all backend servers again and again.
 
-    Events: it comes under new ids, at other daemons.
-    Cause: each daemon counts only the crashes that it has seen itself.
+    The request is sent with new ids, to other daemons. The fault occurs if each daemon counts only
+    the crashes that it has detected itself.
     """
     async with GatewayCluster() as cluster:
         for number in range(CRASHES_TO_REFUSE):
@@ -62,10 +62,10 @@
 
 
 @pytest.mark.parametrize("state", ["draining", None])
-async def test_a_turn_that_outlasts_backends_that_leave_is_not_taken_for_their_end(
+async def test_a_turn_lost_at_leaving_backends_does_not_count_as_a_crash(
     state: str | None,
 ) -> None:
-    """A long turn was refused everywhere for two minutes after a roll of three restarts."""
+    """A rolling restart of three engines must not make all daemons refuse a long turn for 2 min."""
     async with GatewayCluster(2) as cluster:
         for number in range(CRASHES_TO_REFUSE):
             engine = cluster.engines["s1"]
@@ -76,7 +76,9 @@
                 cluster.state.put("keyed.servers", engine.backend_id, None)
             else:
                 cluster.announce("s1", "plain", state=state)
-            await cluster.until(functools.partial(_is_left, cluster, engine.backend_id))
+            await cluster.until(
+                functools.partial(_is_leaving_everywhere, cluster, engine.backend_id)
+            )
             engine.cut_all()
             assert (await calling).status == 502
             await asyncio.sleep(2 * CRASH_CHECK_S)
@@ -87,6 +89,6 @@
             assert reply.status == 200
 
 
-def _is_left(cluster: GatewayCluster, backend_id: str) -> bool:
+def _is_leaving_everywhere(cluster: GatewayCluster, backend_id: str) -> bool:
     entries = [node.daemon._backends.entries.get(backend_id) for node in cluster.nodes.values()]
     return all(entry is None or entry.leaving for entry in entries)
--- a/tests/gateway/backends/test_engine_lives.py
+++ b/tests/gateway/backends/test_engine_lives.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again under the id they had, and entries that others write."""
+"""Backend servers that restart with the same id, and entries that other writers write."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.client import ConnectionLostError
 from tests.support.platform_entries import make_backend_entry
 
-# Long enough that only what is tested can end a turn.
+# Long enough that nothing but the tested behaviour can end a turn.
 SILENT_GAP_MS = 20_000
 
 
@@ -22,12 +22,12 @@
     cluster.state.put("keyed.servers", engine.backend_id, entry)
 
 
-async def test_a_turn_at_a_life_that_is_over_ends_at_once_and_is_not_sent_again() -> None:
-    """Symptom: a caller waits until its own time is over for an engine that has started again.
+async def test_a_turn_at_an_ended_incarnation_ends_at_once_and_is_not_sent_again() -> None:
+    """A caller must not wait until its own deadline for an engine that has restarted.
 
-    Events: an engine loses power with a turn under way, its connection stays open and says nothing;
-    the engine starts again under its id.
-    Cause: the connection was taken for one to the process that answers now.
+    An engine loses power with a turn in progress; its connection stays open and nothing is received
+    on it; the engine starts again with the same id. The fault occurs if the connection is treated
+    as one to the process that answers now.
     """
     async with GatewayCluster(1) as cluster:
         del cluster.engines["e2"]
@@ -56,10 +56,10 @@
     "value", [b"\xff\xfe", b"{}", b"[1]", b'{"service":"model","address":"127.0.0.1:1"}']
 )
 async def test_an_entry_of_another_writer_names_no_backend_server(value: bytes) -> None:
-    """Symptom: calls go on to a backend server whose entry somebody has overwritten.
+    """Calls must not be sent to a backend server whose entry was overwritten.
 
-    Events: another writer puts what can't be read under the key of a backend server.
-    Cause: the entry that stood there before was held to be in force.
+    Another writer stores a value that can't be read under the key of a backend server. The fault
+    occurs if the previous entry is still considered valid.
     """
     async with GatewayCluster(1) as cluster:
         backends = cluster.nodes["a"].daemon._backends
@@ -74,7 +74,7 @@
         await cluster.until(lambda: "e1" in backends.entries)
 
 
-async def test_a_key_that_is_no_text_does_not_end_the_following_of_entries() -> None:
+async def test_a_key_that_is_not_text_does_not_stop_entries_from_being_followed() -> None:
     async with GatewayCluster(1) as cluster:
         backends = cluster.nodes["a"].daemon._backends
         records = cluster.state.partition("keyed.servers", 0).records
--- a/tests/gateway/backends/test_quiet.py
+++ b/tests/gateway/backends/test_quiet.py
@@ -1,4 +1,4 @@
-"""Backend servers that fall silent with answers under way."""
+"""Backend servers that send nothing while answers are in progress."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from quincespool.gateway.backends.exchange import BackendConnection
 from quincespool.gateway.backends.exchange import ConnectError
-from quincespool.gateway.backends.quiet import ATTEMPT_LIMIT_S
+from quincespool.gateway.backends.quiet import PROBE_TIMEOUT_S
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 from tests.support.platform_entries import make_backend_entry
@@ -17,20 +17,20 @@
 if TYPE_CHECKING:
     import pytest
 
-# Long enough that only what is tested can end a turn.
+# Long enough that nothing but the tested behaviour can end a turn.
 SILENT_GAP_MS = 20_000
 LONG_PROMPT_S = 1.2
-# More than the queue of the listener takes.
+# Connections, more than the queue of the listener takes.
 QUEUED = 8
 
 
-async def test_a_turn_at_an_engine_that_has_gone_dark_ends_soon(
+async def test_a_turn_at_an_engine_that_lost_power_ends_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: programs at one engine are all late by more than two seconds.
+    """Programs at an engine that lost power must not all be late by more than two seconds.
 
-    Events: an engine loses its power with turns under way; its connections stay open.
-    Cause: nothing but the callers' own patience ended these turns.
+    An engine loses power with turns in progress, and its connections stay open. The fault occurs if
+    these turns end only when their callers time out.
     """
     async with GatewayCluster(1) as cluster:
         for engine in cluster.engines.values():
@@ -49,8 +49,8 @@
         assert len(cluster.runs("t1")) == 1
 
 
-async def test_an_engine_that_takes_connections_is_waited_for() -> None:
-    """A long pause of one that lives, as while it reads a long prompt, ends nothing."""
+async def test_a_quiet_engine_that_accepts_connections_is_waited_for() -> None:
+    """A long pause of a live engine, as while it reads a long prompt, ends no turn."""
     async with GatewayCluster(1) as cluster:
         for engine in cluster.engines.values():
             engine.knobs.gap_ms = 900
@@ -59,13 +59,13 @@
         assert reply.status == 200
 
 
-async def test_a_process_that_is_short_of_processor_time_judges_nobody(
+async def test_a_process_that_is_short_of_processor_time_ejects_nobody(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: a slow host breaks off streams of engines that are at work.
+    """A slow host must not end streams of engines that work.
 
-    Events: a host turns five times slower; its attempts to connect end late.
-    Cause: what waited unread in its own sockets was taken for silence.
+    A host becomes five times slower, and its connection attempts end late. The fault occurs if data
+    that is unread in the host's own sockets is taken for silence of the engine.
     """
     async with GatewayCluster(1) as cluster:
         for engine in cluster.engines.values():
@@ -75,7 +75,7 @@
         await cluster.until(lambda: cluster.runs("t1"))
 
         async def answer_too_late(*_: object, **__: object) -> None:
-            await asyncio.sleep(2 * ATTEMPT_LIMIT_S)
+            await asyncio.sleep(2 * PROBE_TIMEOUT_S)
             raise ConnectError("no answer", silent=True)
 
         monkeypatch.setattr(BackendConnection, "connect", answer_too_late)
@@ -83,32 +83,32 @@
         assert reply.status == 200
 
 
-async def test_an_engine_that_has_answered_is_not_doubted_while_records_wait(
+async def test_an_engine_that_has_answered_is_not_probed_while_records_wait(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: in an outage of the store hundreds of connections are made to engines.
+    """Engines must not get hundreds of probe connections during an outage of the store.
 
-    Events: turns have generated everything, and their ends wait for the store.
-    Cause: a connection counted as one that owes an answer until its turn was over.
+    Turns have generated all their text, and their final records wait for the store. The fault
+    occurs if a connection counts as waiting for an answer until its turn has ended.
     """
     async with GatewayCluster(1) as cluster:
         first, _ = await cluster.turn("a", "p1")
         cluster.nodes["a"].store.knobs.delay_ms = 700
         tried: list[str] = []
 
-        async def note(_: BackendConnection, address: str, **__: object) -> None:
+        async def record_attempt(_: BackendConnection, address: str, **__: object) -> None:
             tried.append(address)
             raise ConnectError("no answer", silent=True)
 
         turn = asyncio.create_task(cluster.turn("a", "p1", previous=first, call_id="t2"))
         await cluster.until(lambda: cluster.runs("t2"))
-        monkeypatch.setattr(BackendConnection, "connect", note)
+        monkeypatch.setattr(BackendConnection, "connect", record_attempt)
         await asyncio.wait({turn})
         assert tried == []
 
 
 async def test_a_quiet_engine_whose_queue_of_connections_is_full_is_waited_for() -> None:
-    """Its kernel drops new connections as one without power would, but acknowledges the others."""
+    """The engine's kernel drops new connections, as if without power, but acknowledges data."""
     loop = asyncio.get_running_loop()
     async with GatewayCluster(1) as cluster:
         with contextlib.ExitStack() as stack:
--- a/tests/gateway/backends/test_reports.py
+++ b/tests/gateway/backends/test_reports.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another of backend servers where calls go wrong."""
+"""Reports between daemons about backend servers at which calls fail."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     import pytest
 
 
-async def test_calls_that_fail_at_some_daemons_keep_others_away() -> None:
-    """Symptom: answers stall at every host in turn whenever an engine breaks off what it is sent.
+async def test_failures_at_some_daemons_keep_others_from_an_engine() -> None:
+    """Answers must not stall at one host after another because of one faulty engine.
 
-    Events: one engine of two breaks off each turn; daemons `a` and `b` each lose one or two there.
-    Cause: daemon `c` knew nothing of it and sent the engine a turn of its own.
+    One engine of two ends each turn early; daemons `a` and `b` each lose one or two turns there.
+    The fault occurs if daemon `c` gets no report of it and sends the engine a turn of its own.
     """
     async with GatewayCluster(3) as cluster:
         nodes = cluster.nodes
         entry = nodes["a"].daemon._backends.entries["e1"]
         for name in ("a", "b"):
             for _ in range(MOST_OF_ONE_DAEMON):
-                nodes[name].daemon._backend_reports.report(entry, "lost")
+                nodes[name].daemon._backend_reports.report_failure(entry, "lost")
         await asyncio.sleep(0.1)
 
         for number in range(4):
@@ -32,21 +32,21 @@
         assert not cluster.engines["e1"].runs
 
 
-async def test_an_answer_that_is_overdue_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: calls crawl whenever a plain service turns slow at some of its backend servers.
+async def test_an_overdue_answer_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Calls of a plain service must not stay slow when some of its backend servers become slow.
 
-    Events: calls are answered at once; then one waits for a backend server that has turned slow.
-    Cause: a call counted against its backend server only when it had failed.
+    Calls are answered at once; then one waits for a backend server that has become slow. The fault
+    occurs if only a failed call counts against its backend server.
     """
     async with GatewayCluster(2) as cluster:
         for _ in range(10):
             assert (await cluster.call("a", "idempotent")).status == 200
         cluster.engines["s1"].knobs.gap_ms = 300
-        heard: list[str] = []
+        reported_ids: list[str] = []
         monkeypatch.setattr(
             cluster.nodes["b"].daemon._backend_reports,
-            "hear",
-            lambda _, notice: heard.append(notice.backend_id),
+            "apply_report",
+            lambda _, notice: reported_ids.append(notice.backend_id),
         )
         assert (await cluster.call("a", "idempotent")).status == 200
-        await cluster.until(lambda: "s1" in heard)
+        await cluster.until(lambda: "s1" in reported_ids)
