--- a/src/quincespool/gateway/callers/front.py
+++ b/src/quincespool/gateway/callers/front.py
@@ -118,7 +118,7 @@
         if permit.refusal is not None:
             reply.refuse(permit.refusal)
             return ""
-        decision = decision._replace(is_pressed=permit.is_pressed)
+        decision = decision._replace(is_pressed=permit.is_near_limit)
         try:
             if not self._has_time_until(until_ms):
                 # The stop has begun while the call waited for its permit.
@@ -130,7 +130,7 @@
             return ""
         finally:
             if permit.is_counted and reply.verdict is Verdict.NOT_RUN:
-                self._limits.give_back(decision)
+                self._limits.return_permit(decision)
 
     def refuse(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
         """Returns the answer to a request that cannot be read."""
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_parts.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from quincespool.gateway.accounts.limits import AccountLimits
-from quincespool.gateway.accounts.limits import LimitTerms
+from quincespool.gateway.accounts.limits import LimitSettings
 from quincespool.gateway.members.links import Links
 from quincespool.gateway.members.messages import ConfigurationCopy
 from quincespool.gateway.members.messages import ConfigurationQuestion
@@ -127,7 +127,7 @@
             links=self.links,
             log=log,
             metrics=services.metrics,
-            terms=LimitTerms(
+            settings=LimitSettings(
                 window_ms=1_000 * settings.limit_window_s,
                 slack_calls=settings.limit_slack_calls,
                 overage_share=settings.limit_overage_share,
--- a/src/quincespool/limits/__init__.py
+++ b/src/quincespool/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of client accounts over all daemons: pure decisions, no clock, socket or randomness."""
+"""Limits of client accounts over all daemons: decisions without clock, socket or randomness."""
--- a/src/quincespool/limits/bucket.py
+++ b/src/quincespool/limits/bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: what an account may still have run, and when it may have more."""
+"""A token bucket: how many calls an account may run now, and when it may run more."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Allowance(NamedTuple):
-    """What one account may have run, at all daemons together.
+    """The limit of one account over all daemons.
 
     Attributes:
       rate_per_s: Calls a second.
-      capacity_calls: Calls that may run at once after a pause.
+      capacity_calls: Calls that may start at the same moment when the bucket is full.
     """
 
     rate_per_s: float
@@ -20,32 +20,33 @@
 class Bucket(NamedTuple):
     """The state of one account's bucket.
 
-    In any time t it gives out no more than its capacity and `rate_per_s * t`: also if it is emptied
-    or its level lowered at any moment, as at a new home that does not know what the last one gave.
+    In any time t it allows no more calls than its capacity plus `rate_per_s * t`. That holds also
+    if the bucket is emptied or its level is lowered at any moment, as a new limiter does that
+    doesn't know how many calls the previous one has allowed.
 
     Attributes:
-      level_calls: Below zero while calls wait that were let through ahead of time.
-      at_ms: Steady clock of that level.
+      level_calls: Calls in the bucket; below zero while calls wait that were allowed in advance.
+      at_ms: Steady clock at which the level was computed.
     """
 
     level_calls: float
     at_ms: int
 
     def refilled(self, allowance: Allowance, now_ms: int) -> Bucket:
-        """Returns the bucket as of now. A clock that goes back adds nothing."""
+        """Returns the bucket refilled until now. A clock that goes back adds nothing."""
         gained = max(0, now_ms - self.at_ms) / 1000 * allowance.rate_per_s
         level = min(allowance.capacity_calls, self.level_calls + gained)
         return Bucket(level, max(now_ms, self.at_ms))
 
-    def lowered(self, most_calls: float) -> Bucket:
-        """Returns the bucket with no more than so many calls in it."""
+    def capped(self, most_calls: float) -> Bucket:
+        """Returns the bucket with its level reduced to `most_calls` if it is higher."""
         return self._replace(level_calls=min(self.level_calls, most_calls))
 
     def with_calls(self, calls: float) -> Bucket:
-        """Returns the bucket with so many calls more, or fewer if negative."""
+        """Returns the bucket with the given number of calls added, or removed if negative."""
         return self._replace(level_calls=self.level_calls + calls)
 
     def wait_ms(self, calls: float, allowance: Allowance) -> int:
-        """Returns after how long so many calls are in it."""
+        """Returns the milliseconds until the bucket holds the given number of calls."""
         missing = calls - self.level_calls
         return max(0, round(missing / allowance.rate_per_s * 1000))
--- a/src/quincespool/limits/demand.py
+++ b/src/quincespool/limits/demand.py
@@ -1,4 +1,4 @@
-"""How many programs of each kind want to begin, those that are refused included."""
+"""Counts how many programs of each kind arrive to begin, including those that are refused."""
 
 from __future__ import annotations
 
@@ -15,53 +15,53 @@
 
     from quincespool.policy.program_shapes import ProgramKind
 
-# A program that comes back within this time after a refusal is the same arrival.
-RETURN_MS = 2_000
-# The time over which arrivals are averaged: long enough to see through chance, short enough to
-# follow a burst of some seconds.
-MEMORY_MS = 2_000
+# A program that is retried within this time after a refusal counts as the same arrival.
+RETRY_WINDOW_MS = 2_000
+# Time constant of the average of arrivals: long enough to smooth out random variation, short enough
+# to follow a burst of some seconds.
+AVERAGING_MS = 2_000
 
 
 class _Arrivals(NamedTuple):
-    """Programs that came, each counted less the longer ago it was."""
+    """A count of arrived programs in which the weight of each decays with its age."""
 
     programs: float
     at_ms: int
 
     def decayed(self, now_ms: int) -> _Arrivals:
         passed_ms = max(0, now_ms - self.at_ms)
-        return _Arrivals(self.programs * math.exp(-passed_ms / MEMORY_MS), now_ms)
+        return _Arrivals(self.programs * math.exp(-passed_ms / AVERAGING_MS), now_ms)
 
 
 class Demand:
-    """The arrivals of one account's programs."""
+    """The arrivals of one account's programs, by kind."""
 
     def __init__(self) -> None:
-        self._asked_ms: dict[str, int] = {}
+        self._last_request_ms: dict[str, int] = {}
         self._arrivals: dict[ProgramKind, _Arrivals] = {}
         self._refused_ms: dict[ProgramKind, int] = {}
 
-    def note(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
-        """Takes in that a program would begin."""
-        asked_ms = self._asked_ms.get(program_id)
-        put_newest(self._asked_ms, program_id, now_ms, most=MAX_PROGRAMS)
-        if asked_ms is not None and now_ms - asked_ms < RETURN_MS:
+    def record_arrival(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
+        """Records that a program asks to begin."""
+        last_request_ms = self._last_request_ms.get(program_id)
+        put_newest(self._last_request_ms, program_id, now_ms, most=MAX_PROGRAMS)
+        if last_request_ms is not None and now_ms - last_request_ms < RETRY_WINDOW_MS:
             return
         arrivals = self._arrivals.get(kind, _Arrivals(0.0, now_ms)).decayed(now_ms)
         arrivals = arrivals._replace(programs=arrivals.programs + 1)
         put_newest(self._arrivals, kind, arrivals, most=MAX_KINDS)
 
-    def note_refused(self, kind: ProgramKind, now_ms: int) -> None:
-        """Takes in that a program could not begin."""
+    def record_refusal(self, kind: ProgramKind, now_ms: int) -> None:
+        """Records that a program was refused to begin."""
         put_newest(self._refused_ms, kind, now_ms, most=MAX_KINDS)
 
     def programs_per_s(self, now_ms: int) -> Iterator[tuple[ProgramKind, float]]:
-        """Yields each kind of which a program was refused lately, and how many come a second.
+        """Yields the arrivals per second of each kind of which a program was refused lately.
 
-        A kind whose programs all begin needs nothing kept for it.
+        Kinds whose programs all begin are left out: no calls need to be reserved for them.
         """
         for kind, arrivals in self._arrivals.items():
             refused_ms = self._refused_ms.get(kind)
-            if refused_ms is None or now_ms - refused_ms >= RETURN_MS:
+            if refused_ms is None or now_ms - refused_ms >= RETRY_WINDOW_MS:
                 continue
-            yield kind, arrivals.decayed(now_ms).programs / MEMORY_MS * 1000
+            yield kind, arrivals.decayed(now_ms).programs / AVERAGING_MS * 1000
--- a/tests/gateway/accounts/test_accounts.py
+++ b/tests/gateway/accounts/test_accounts.py
@@ -1,4 +1,4 @@
-"""Who asks: accounts, their keys, and what one account sees of another's programs."""
+"""Accounts, their keys, and the separation of the programs of different accounts."""
 
 from __future__ import annotations
 
@@ -54,11 +54,11 @@
 
 
 async def test_a_turn_of_another_account_is_not_found() -> None:
-    """Symptom: an engine reads what another account's program has said.
+    """An engine must not read the history of another account's program.
 
-    Events: two accounts have programs of the same id; one names a turn of the other, under that
-    program id or another one.
-    Cause: programs and turns were looked up by the ids that callers choose.
+    Two accounts have programs with the same id; one names a turn of the other, with that program id
+    or another one. The fault occurs if programs and turns are looked up only by the ids that
+    callers choose.
     """
     async with GatewayCluster() as cluster:
         cluster.configure(2, accounts=_accounts())
@@ -86,11 +86,11 @@
         assert statuses == [200, 200, 402]
 
 
-async def test_a_turn_of_another_account_is_told_without_the_store() -> None:
-    """Symptom: calls to the store go up by a round of all partitions for each such turn.
+async def test_a_turn_of_another_account_is_detected_without_the_store() -> None:
+    """Turns that name a turn of another account must cause no calls to the store.
 
-    Events: turns name turns of other accounts; all owners make sure that they have none.
-    Cause: that another account has the turn was not taken for an answer.
+    The fault occurs if it is not taken for a final answer that another account has the turn: all
+    owners then check with the store, a round of all partitions for each such turn.
     """
     async with GatewayCluster() as cluster:
         cluster.configure(2, accounts=_accounts())
@@ -103,7 +103,7 @@
         assert _appends(cluster) == appends
 
 
-def test_an_id_that_two_accounts_chose_is_each_ones_own() -> None:
+def test_an_id_that_two_accounts_chose_is_separate_at_each() -> None:
     ledger = Ledger()
     for account in ("north", "south"):
         program = scoped_program(account, "p")
@@ -118,11 +118,11 @@
     assert not ledger.is_foreign("t", "west")
 
 
-async def test_a_key_taken_away_is_in_force_where_the_store_turns_the_host_away() -> None:
-    """Symptom: a key that was taken away goes on being served at some hosts.
+async def test_a_removed_key_is_refused_at_a_host_that_the_store_refuses() -> None:
+    """A key that was removed must not be accepted any longer at some hosts.
 
-    Events: the store turns a host away, and the operators take a key away meanwhile.
-    Cause: the host could read no configuration, and nobody told it.
+    The store refuses a host, and operators remove a key in the meantime. The fault occurs if the
+    host can't read the configuration, and no other daemon sends it a copy.
     """
     async with GatewayCluster() as cluster:
         cluster.configure(2, accounts=_accounts())
@@ -134,7 +134,7 @@
         assert (await cluster.call("a", "idempotent", key="key-south")).status == 200
 
 
-async def test_a_copy_never_takes_the_place_of_a_newer_configuration() -> None:
+async def test_a_copy_never_replaces_a_newer_configuration() -> None:
     async with GatewayCluster(1) as cluster:
         cluster.configure(3, accounts=_accounts())
         await _wait_for(cluster, 3)
@@ -144,7 +144,7 @@
         assert beliefs.configuration_version == 3
 
 
-def test_a_copy_holds_the_whole_configuration_and_no_key() -> None:
+def test_a_copy_holds_the_complete_configuration_and_no_key() -> None:
     configuration = read_configuration(make_configuration(2, accounts=_accounts()))
     data = write_configuration_copy(configuration)
 
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -5,12 +5,12 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quincespool.gateway.accounts.limits import ANSWER_LIMIT_MS
-from quincespool.gateway.accounts.limits import MUTE_MS
+from quincespool.gateway.accounts.limits import ANSWER_TIMEOUT_MS
+from quincespool.gateway.accounts.limits import UNANSWERED_PAUSE_MS
 from quincespool.gateway.members.messages import PermitQuestion
 from quincespool.gateway.model import Daemon
-from quincespool.limits.home import FIRST_CALLS
-from quincespool.limits.home import Term
+from quincespool.limits.account_limiter import INITIAL_CALLS
+from quincespool.limits.account_limiter import LimiterTerm
 from tests.gateway.gateway_cluster import GatewayCluster
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 async def _configure(
     cluster: GatewayCluster, version: int, *, rate_per_s: float, burst: int = BURST
 ) -> None:
-    """Puts a limit in force at daemons that have been homes for a minute."""
+    """Sets a limit at daemons that have been limiters for a minute."""
     cluster.configure(version, accounts=_accounts(rate_per_s=rate_per_s, burst=burst))
     daemons = [node.daemon for node in cluster.nodes.values()]
     await cluster.until(lambda: all(one._routes.version == version for one in daemons))
@@ -41,23 +41,25 @@
     return cluster.nodes[name].daemon._parts.limits
 
 
-def _home(cluster: GatewayCluster) -> str:
-    """Returns the daemon that is the home of the limited account."""
+def _limiter_name(cluster: GatewayCluster) -> str:
+    """Returns the daemon that is the limiter of the limited account."""
     return next(
-        name for name in cluster.nodes if isinstance(_limits(cluster, name)._home_of("north"), Term)
+        name
+        for name in cluster.nodes
+        if isinstance(_limits(cluster, name)._limiter_of("north"), LimiterTerm)
     )
 
 
 async def _calls(cluster: GatewayCluster, nodes: str, count: int, *, key: str = "k") -> list[Reply]:
-    """Sends plain calls one after the other, to the daemons in turn."""
+    """Sends plain calls in sequence, to the daemons in rotation."""
     return [
         await cluster.call(nodes[number % len(nodes)], "idempotent", key=key)
         for number in range(count)
     ]
 
 
-def _gone(member_id: str) -> Daemon:
-    """Returns the entry of a daemon that is not there."""
+def _stopped_daemon(member_id: str) -> Daemon:
+    """Returns the entry of a daemon that does not run."""
     return Daemon(member_id, 1, "z", "127.0.0.1:9", "127.0.0.1:9")
 
 
@@ -65,11 +67,10 @@
     return sum(reply.status == 200 for reply in replies)
 
 
-async def test_all_daemons_together_keep_one_limit() -> None:
-    """Symptom: an account gets its limit once at each daemon.
+async def test_all_daemons_together_enforce_one_limit() -> None:
+    """An account must not get its full limit at each daemon.
 
-    Events: its calls come to all daemons alike.
-    Cause: each one knew only of its own.
+    Its calls are spread over all daemons. The fault occurs if each daemon knows only its own calls.
     """
     async with GatewayCluster(3) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
@@ -107,71 +108,70 @@
         assert reply.status == 429
 
 
-async def test_a_home_that_dies_is_followed_by_one_that_starts_low() -> None:
-    """Symptom: an account gets twice its limit when a host dies.
+async def test_after_a_limiter_crashed_the_next_one_starts_with_the_initial_calls() -> None:
+    """An account must not get twice its limit when a host crashes.
 
-    Events: it has used its limit up; its home dies, and another daemon becomes it.
-    Cause: the new one gave out a whole burst.
+    The account has used up its limit; its limiter crashes, and another daemon becomes the limiter.
+    The fault occurs if the new limiter allows a full burst.
     """
     async with GatewayCluster(3) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
         assert _served(await _calls(cluster, "abc", BURST + 2)) == BURST
-        await cluster.lose_node(_home(cluster))
-        left = "".join(cluster.nodes)
-        assert _served(await _calls(cluster, left, 8)) <= FIRST_CALLS
+        await cluster.lose_node(_limiter_name(cluster))
+        remaining = "".join(cluster.nodes)
+        assert _served(await _calls(cluster, remaining, 8)) <= INITIAL_CALLS
         await cluster.until(cluster.is_settled)
-        assert _served(await _calls(cluster, left, 8)) <= FIRST_CALLS
+        assert _served(await _calls(cluster, remaining, 8)) <= INITIAL_CALLS
 
 
-async def test_a_home_that_does_not_answer_holds_nobody_up() -> None:
-    """Symptom: calls of some accounts wait until they are late, though engines are idle.
+async def test_a_limiter_that_does_not_answer_delays_no_calls() -> None:
+    """Calls of some accounts must not wait past their deadline while engines are idle.
 
-    Events: a host freezes; the accounts whose home it is are far below their limit.
-    Cause: each call waits for an answer that does not come.
+    A host freezes that is the limiter of accounts far below their limit. The fault occurs if each
+    call waits for an answer that does not arrive.
     """
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=100)
-        home = _home(cluster)
-        other = "b" if home == "a" else "a"
-        _limits(cluster, home).on_message = lambda *_: None  # type: ignore[method-assign]
+        limiter_name = _limiter_name(cluster)
+        other = "b" if limiter_name == "a" else "a"
+        _limits(cluster, limiter_name).on_message = lambda *_: None  # type: ignore[method-assign]
         began_s = asyncio.get_running_loop().time()
         replies = await _calls(cluster, other, 4)
         took_ms = (asyncio.get_running_loop().time() - began_s) * 1000
 
         assert replies[0].status == 200
         assert {reply.status for reply in replies} <= {200, 503}
-        # One waited for the answer; the others did not, as long as the home counts as mute.
-        assert took_ms < MUTE_MS + ANSWER_LIMIT_MS
+        # Only one call waited for the answer: requests to the limiter were paused after it.
+        assert took_ms < UNANSWERED_PAUSE_MS + ANSWER_TIMEOUT_MS
 
 
-async def test_only_a_call_that_was_counted_is_given_back() -> None:
-    """Symptom: an account gets more than its limit around a freeze of its home.
+async def test_only_a_call_that_was_counted_is_returned() -> None:
+    """An account must not exceed its limit around a freeze of its limiter.
 
-    Events: the home does not answer; calls go through without it and are refused by full backend
-    servers; the home wakes.
-    Cause: what it had never counted was given back to it.
+    The limiter does not answer; calls are allowed without it and refused by full backend servers;
+    the limiter resumes. The fault occurs if calls are returned to it that it has never counted.
     """
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=100)
         cluster.engines["s1"].knobs.full = True
-        home = _home(cluster)
-        heard: list[object] = []
-        frozen = _limits(cluster, home)
-        frozen.on_message = lambda *args: heard.append(args[1])  # type: ignore[method-assign]
-        await _calls(cluster, "b" if home == "a" else "a", 3)
+        limiter_name = _limiter_name(cluster)
+        received: list[object] = []
+        frozen = _limits(cluster, limiter_name)
+        frozen.on_message = lambda *args: received.append(args[1])  # type: ignore[method-assign]
+        await _calls(cluster, "b" if limiter_name == "a" else "a", 3)
         await asyncio.sleep(0.1)
-        assert [type(message) for message in heard] == [PermitQuestion]
+        assert [type(message) for message in received] == [PermitQuestion]
 
 
-async def test_a_call_whose_caller_leaves_while_it_waits_is_given_back() -> None:
-    """Callers that lose patience would use up what their account may have run."""
+async def test_a_waiting_call_whose_caller_disconnects_is_returned() -> None:
+    """Otherwise callers that time out would use up their account's limit."""
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=10, burst=1)
-        home = _home(cluster)
-        limits = _limits(cluster, home)
-        await _calls(cluster, home, 1)
+        limiter_name = _limiter_name(cluster)
+        limits = _limits(cluster, limiter_name)
+        await _calls(cluster, limiter_name, 1)
         before = limits.dump()["north"]
-        waiting = asyncio.create_task(cluster.call(home, "idempotent", key="k"))
+        waiting = asyncio.create_task(cluster.call(limiter_name, "idempotent", key="k"))
         await cluster.until(lambda: limits.dump()["north"] < before)
         waiting.cancel()
         await cluster.until(lambda: limits.dump()["north"] >= before)
@@ -179,25 +179,25 @@
 
 
 async def test_the_owner_of_a_program_knows_that_its_account_has_used_most_of_its_limit() -> None:
-    """Where engines are full, such an account leaves its places to others first."""
+    """Where engines are full, calls of such an account are refused before those of others."""
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
-        told: list[bool] = []
+        near_limit: list[bool] = []
         for node in cluster.nodes.values():
             admission = node.daemon._parts.admission
-            admission.refuse = lambda _, terms, __: told.append(terms.is_pressed)  # type: ignore[assignment,method-assign]
+            admission.refuse = lambda _, terms, __: near_limit.append(terms.is_pressed)  # type: ignore[assignment,method-assign]
         await cluster.turn("a", "north-1", key="k")
         await _calls(cluster, "ab", BURST - 8)
         await cluster.turn("a", "north-1", key="k")
         await cluster.turn("a", "south-1", key="free")
-        assert told == [False, True, False]
+        assert near_limit == [False, True, False]
 
 
-async def test_hosts_that_are_cut_off_give_out_a_part_only() -> None:
-    """Symptom: an account passes its limit while some hosts are cut off from the others.
+async def test_hosts_that_are_cut_off_allow_only_a_share() -> None:
+    """An account must not exceed its limit while some hosts are cut off from the others.
 
-    Events: hosts hear nobody any more, but callers and backend servers reach them.
-    Cause: each one acted as the home of all accounts, with a whole rate to give out.
+    Hosts receive no heartbeats, but callers and backend servers reach them. The fault occurs if
+    each one acts as the limiter of all accounts and allows the full rate.
     """
     async with GatewayCluster(3) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
@@ -207,15 +207,15 @@
         cut_off._ownership._wanted = False
         for peer in ("b", "c"):
             cut_off._members.remove(peer)
-            cut_off._members.put(_gone(peer), -1_000_000)
-        assert _limits(cluster, "a")._home_of("north") is None
-        # One, and the daemon's part of the rate.
+            cut_off._members.put(_stopped_daemon(peer), -1_000_000)
+        assert _limits(cluster, "a")._limiter_of("north") is None
+        # One call, and the daemon's share of the rate.
         replies = await _calls(cluster, "a", 5)
         assert _served(replies) == 1
         assert {reply.status for reply in replies} == {200, 503}
 
 
-async def test_a_limit_that_is_lowered_holds_at_once() -> None:
+async def test_a_lowered_limit_is_in_force_at_once() -> None:
     async with GatewayCluster() as cluster:
         await _configure(cluster, 2, rate_per_s=1_000)
         await asyncio.sleep(0.1)
@@ -230,6 +230,6 @@
     async with GatewayCluster() as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
         await _calls(cluster, "ab", 1)
-        levels = cluster.nodes[_home(cluster)].daemon._dump()["account_levels"]
+        levels = cluster.nodes[_limiter_name(cluster)].daemon._dump()["account_levels"]
         assert isinstance(levels, dict)
         assert BURST - 1 <= levels["north"] < BURST
--- a/tests/limits/test_order.py
+++ b/tests/limits/test_admission_order.py
@@ -1,4 +1,4 @@
-"""Whose calls go first when an account asks for more than its limit."""
+"""Which programs may begin when an account sends more calls than its limit."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
+from quincespool.limits.account_limiter import AccountLimiter
+from quincespool.limits.account_limiter import Grant
+from quincespool.limits.account_limiter import LimiterTerm
+from quincespool.limits.account_limiter import PermitRequest
+from quincespool.limits.admission_order import DEFAULT_PROGRAM_SHAPE
+from quincespool.limits.admission_order import MAX_RESERVED_SHARE
+from quincespool.limits.admission_order import MIN_REMAINING_CALLS
+from quincespool.limits.admission_order import StartedProgramsFirst
+from quincespool.limits.admission_order import make_first_come_first_served
+from quincespool.limits.admission_order import make_started_programs_first
 from quincespool.limits.bucket import Allowance
 from quincespool.limits.bucket import Bucket
-from quincespool.limits.home import Ask
-from quincespool.limits.home import Grant
-from quincespool.limits.home import LimitsHome
-from quincespool.limits.home import Term
-from quincespool.limits.order import FIRST_PROGRAM
-from quincespool.limits.order import LEAST_REST_CALLS
-from quincespool.limits.order import MOST_KEPT_SHARE
-from quincespool.limits.order import ProgramsFirst
-from quincespool.limits.order import make_first_come
-from quincespool.limits.order import make_programs_first
 from quincespool.policy.program_shapes import IDLE_MS
 from quincespool.policy.program_shapes import MAX_PROGRAMS
 from quincespool.policy.program_shapes import ProgramKind
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.limits.order import Order
+    from quincespool.limits.admission_order import AdmissionOrder
 
 ALLOWANCE = Allowance(rate_per_s=30, capacity_calls=40)
 CALLS = 12
@@ -58,17 +58,20 @@
 
 
 def _serve(
-    make_order: Callable[[], Order], programs_per_s: dict[ProgramKind, float], *, seconds: int
+    make_order: Callable[[], AdmissionOrder],
+    programs_per_s: dict[ProgramKind, float],
+    *,
+    seconds: int,
 ) -> Counter[ProgramKind]:
-    """Returns how many programs end whose calls come one after the other, each tried twice."""
-    home = LimitsHome(make_order, window_ms=5_000)
+    """Returns how many programs complete whose calls are sent in sequence, each tried twice."""
+    limiter = AccountLimiter(make_order, window_ms=5_000)
     arrivals = _arrivals(programs_per_s, seconds, random.Random(7))
     ended: Counter[ProgramKind] = Counter()
     while arrivals:
         arrivals.sort(key=lambda item: item[0])
         now_ms, program = arrivals.pop(0)
-        ask = Ask(program.program_id, program.kind, may_begin=program.calls == 0)
-        verdict = home.ask("a", ask, ALLOWANCE, term=Term(1, 0), now_ms=now_ms)
+        request = PermitRequest(program.program_id, program.kind, may_begin=program.calls == 0)
+        verdict = limiter.request("a", request, ALLOWANCE, term=LimiterTerm(1, 0), now_ms=now_ms)
         if isinstance(verdict, Grant):
             program = program._replace(calls=program.calls + 1, tries=0)
             if program.calls == KIND_CALLS[program.kind.name]:
@@ -81,15 +84,16 @@
     return ended
 
 
-def test_an_account_far_over_its_limit_still_gets_programs_to_their_end() -> None:
-    """Symptom: an account that sends many times its usual gets hardly a program to its end.
+def test_an_account_far_over_its_limit_still_completes_programs() -> None:
+    """Programs of an account that sends many times its usual load must still complete.
 
-    Events: eighteen programs a second of twelve calls each, where the limit carries two and a half.
-    Cause: each program loses some call to the limit; what its other calls used is wasted.
+    Eighteen programs a second of twelve calls each arrive, where the limit is enough for two and a
+    half. The fault occurs if each program has some call refused by the limit, so that the work of
+    its other calls is wasted.
     """
     carried = 10 * ALLOWANCE.rate_per_s / CALLS
-    first_come = _serve(make_first_come, {KIND: 18}, seconds=10)[KIND]
-    programs_first = _serve(make_programs_first, {KIND: 18}, seconds=10)[KIND]
+    first_come = _serve(make_first_come_first_served, {KIND: 18}, seconds=10)[KIND]
+    programs_first = _serve(make_started_programs_first, {KIND: 18}, seconds=10)[KIND]
 
     assert programs_first >= 0.8 * carried
     assert first_come < 0.5 * programs_first
@@ -98,13 +102,13 @@
 def _served_share(
     programs_per_s: dict[ProgramKind, float], seconds: int = 20
 ) -> dict[ProgramKind, float]:
-    ended = _serve(make_programs_first, programs_per_s, seconds=seconds)
+    ended = _serve(make_started_programs_first, programs_per_s, seconds=seconds)
     asked = Counter(one.kind for _, one in _arrivals(programs_per_s, seconds, random.Random(7)))
     return {kind: ended[kind] / asked[kind] for kind in programs_per_s}
 
 
-def test_long_programs_do_not_keep_out_the_short_ones_that_go_before_them() -> None:
-    """What is long and less urgent holds room for seconds; what is urgent found none left."""
+def test_long_programs_do_not_keep_out_more_urgent_short_ones() -> None:
+    """Long programs reserve calls for seconds; urgent short programs must still find enough."""
     for short_per_s, long_per_s in ((2.0, 1.2), (1.0, 6.0)):
         ranked = _served_share({SHORT: short_per_s, LONG: long_per_s})
         assert ranked[SHORT] >= ranked[LONG]
@@ -115,72 +119,72 @@
 
 
 def test_the_least_urgent_programs_are_not_shut_out() -> None:
-    """More urgent programs alone come at six times the limit."""
-    served = _serve(make_programs_first, {SHORT: 24.0, LONG: 1.2}, seconds=20)
+    """The more urgent programs alone arrive at six times the limit."""
+    served = _serve(make_started_programs_first, {SHORT: 24.0, LONG: 1.2}, seconds=20)
 
-    rest = 20 * ALLOWANCE.rate_per_s * (1 - MOST_KEPT_SHARE) / KIND_CALLS[LONG.name]
+    rest = 20 * ALLOWANCE.rate_per_s * (1 - MAX_RESERVED_SHARE) / KIND_CALLS[LONG.name]
     assert served[LONG] >= 0.5 * rest
     assert served[SHORT] > served[LONG]
 
 
 def test_an_account_below_its_limit_loses_nothing() -> None:
-    """Four tenths of the limit, in programs that come by chance, some of them close together."""
-    offered = _serve(make_first_come, {KIND: 1.0}, seconds=20)
-    assert _serve(make_programs_first, {KIND: 1.0}, seconds=20) == offered
+    """Programs arrive at random at four tenths of the limit, some of them close together."""
+    offered = _serve(make_first_come_first_served, {KIND: 1.0}, seconds=20)
+    assert _serve(make_started_programs_first, {KIND: 1.0}, seconds=20) == offered
 
 
-def test_an_account_with_a_limit_below_one_program_begins_one_at_rest() -> None:
-    order, small = ProgramsFirst(), Allowance(rate_per_s=1, capacity_calls=6)
+def test_an_account_with_a_limit_below_one_program_begins_one_when_idle() -> None:
+    order, small = StartedProgramsFirst(), Allowance(rate_per_s=1, capacity_calls=6)
     assert order.missing_calls(KIND, Bucket(6, 0), small, 0) == 0
-    order.note("p", KIND, 0)
+    order.record_call("p", KIND, 0)
     assert order.missing_calls(KIND, Bucket(5, 0), small, 0) > 0
     assert order.missing_calls(KIND, Bucket(6, 0), small, IDLE_MS) == 0
 
 
-def test_what_is_usual_is_learned_from_programs_that_are_over() -> None:
-    order = ProgramsFirst()
+def test_the_usual_shape_is_learned_from_completed_programs() -> None:
+    order = StartedProgramsFirst()
     for number in range(200):
         for call in range(3):
-            order.note(f"p{number}", KIND, number * 10_000 + call * 100)
+            order.record_call(f"p{number}", KIND, number * 10_000 + call * 100)
         order.missing_calls(KIND, Bucket(40, 0), ALLOWANCE, number * 10_000 + 5_000)
 
-    order.note("p", KIND, 5_000_000)
-    # Room for one more program of three calls is enough; of twelve, as at first, it would not be.
-    room = LEAST_REST_CALLS + 3
-    assert FIRST_PROGRAM.calls > 6
+    order.record_call("p", KIND, 5_000_000)
+    # Enough for one more program of three calls; not for one of twelve, as assumed at first.
+    room = MIN_REMAINING_CALLS + 3
+    assert DEFAULT_PROGRAM_SHAPE.calls > 6
     assert order.missing_calls(KIND, Bucket(room, 0), Allowance(0.1, 40), 5_000_000) == 0
     assert order.missing_calls(KIND, Bucket(room - 1, 0), Allowance(0.1, 40), 5_000_000) > 0
 
 
-def test_what_is_usual_differs_by_kind() -> None:
-    order = ProgramsFirst()
+def test_the_usual_shape_differs_by_kind() -> None:
+    order = StartedProgramsFirst()
     for number in range(100):
         for kind, calls in ((SHORT, 3), (LONG, 40)):
             for _ in range(calls):
-                order.note(f"{kind.name}{number}", kind, number * 10_000)
+                order.record_call(f"{kind.name}{number}", kind, number * 10_000)
         order.missing_calls(LONG, Bucket(40, 0), ALLOWANCE, number * 10_000 + 5_000)
-    order.note("one", SHORT, 5_000_000)
+    order.record_call("one", SHORT, 5_000_000)
     slow = Allowance(0.1, 60)
     assert order.missing_calls(SHORT, Bucket(10, 0), slow, 5_000_000) == 0
     assert order.missing_calls(LONG, Bucket(10, 0), slow, 5_000_000) > 0
 
 
-def test_what_is_remembered_is_bounded() -> None:
-    order = ProgramsFirst()
+def test_the_number_of_remembered_programs_is_bounded() -> None:
+    order = StartedProgramsFirst()
     for number in range(MAX_PROGRAMS + 10):
-        order.note(f"p{number}", KIND, 0)
-    assert not order.is_under_way("p0", 0)
-    assert order.is_under_way(f"p{MAX_PROGRAMS + 9}", 0)
+        order.record_call(f"p{number}", KIND, 0)
+    assert not order.is_in_progress("p0", 0)
+    assert order.is_in_progress(f"p{MAX_PROGRAMS + 9}", 0)
 
 
-def test_nothing_is_kept_for_urgent_programs_that_all_begin() -> None:
-    """Below its limit an account's long programs were refused for short ones that found room."""
-    order = ProgramsFirst()
+def test_nothing_is_reserved_for_urgent_programs_that_all_begin() -> None:
+    """An account below its limit must not have long programs refused for short ones that begin."""
+    order = StartedProgramsFirst()
     for number in range(10):
-        order.note_arrival(f"s{number}", SHORT, number * 100)
-    room = Bucket(FIRST_PROGRAM.calls - 1, 1_000)
+        order.record_arrival(f"s{number}", SHORT, number * 100)
+    room = Bucket(DEFAULT_PROGRAM_SHAPE.calls - 1, 1_000)
     slow = Allowance(rate_per_s=1, capacity_calls=40)
     assert order.missing_calls(LONG, room, slow, 1_000) == 0
-    order.note_refused(SHORT, 1_000)
+    order.record_refusal(SHORT, 1_000)
     assert order.missing_calls(LONG, room, slow, 1_000) > 0
     assert order.missing_calls(SHORT, room, slow, 1_000) == 0
--- a/tests/limits/test_bucket.py
+++ b/tests/limits/test_bucket.py
@@ -29,13 +29,13 @@
 
 @given(st.lists(st.tuples(st.integers(0, 2_000), st.booleans()), max_size=60))
 def test_no_window_gets_more_than_capacity_and_rate(steps: list[tuple[int, bool]]) -> None:
-    """Calls are taken where there is one; at some steps the bucket is lowered as at a new home."""
+    """Every available call is taken; at some steps the bucket is capped, as by a new limiter."""
     bucket, now_ms, taken_ms = Bucket(5, 0), 0, list[int]()
     for pause_ms, is_lowered in steps:
         now_ms += pause_ms
         bucket = bucket.refilled(ALLOWANCE, now_ms)
         if is_lowered:
-            bucket = bucket.lowered(1)
+            bucket = bucket.capped(1)
         while bucket.level_calls >= 1:
             bucket = bucket.with_calls(-1)
             taken_ms.append(now_ms)
--- a/tests/limits/test_homes_walk.py
+++ b/tests/limits/test_limiter_walk.py
@@ -1,6 +1,6 @@
-"""A long random walk of accounts through homes, faults and changes of limits: no window is over.
+"""A random walk of an account through limiters and limits: no window exceeds its limit.
 
-`QUINCESPOOL_WALK_STEPS=1000000 python -m pytest tests/limits/test_homes_walk.py` walks longer.
+`QUINCESPOOL_WALK_STEPS=1000000 python -m pytest tests/limits/test_limiter_walk.py` walks longer.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 import pytest
 
+from quincespool.limits.account_limiter import INITIAL_CALLS
+from quincespool.limits.account_limiter import MAX_WAIT_MS
+from quincespool.limits.account_limiter import AccountLimiter
+from quincespool.limits.account_limiter import Grant
+from quincespool.limits.account_limiter import LimiterTerm
+from quincespool.limits.account_limiter import PermitRequest
+from quincespool.limits.admission_order import make_started_programs_first
 from quincespool.limits.bucket import Allowance
-from quincespool.limits.home import FIRST_CALLS
-from quincespool.limits.home import MOST_WAIT_MS
-from quincespool.limits.home import Ask
-from quincespool.limits.home import Grant
-from quincespool.limits.home import LimitsHome
-from quincespool.limits.home import Term
-from quincespool.limits.order import make_programs_first
 
 STEPS = int(os.environ.get("QUINCESPOOL_WALK_STEPS", "20000"))
 WINDOW_MS = 5_000
 DAEMONS = 5
-# Small accounts and large ones, as operators set them.
+# Limits of small and large accounts, as operators set them.
 ALLOWANCES = [Allowance(1.3, 11), Allowance(12, 22), Allowance(30, 40), Allowance(183, 193)]
 
 
@@ -34,12 +34,14 @@
 
 
 class _Walk:
-    """One account. Calls that are given back have not run and don't count."""
+    """One account. Calls that are returned have not run and don't count."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.homes = [LimitsHome(make_programs_first, window_ms=WINDOW_MS) for _ in range(DAEMONS)]
-        self.at, self.term, self.now_ms = 0, Term(1, 0), 0
+        self.limiters = [
+            AccountLimiter(make_started_programs_first, window_ms=WINDOW_MS) for _ in range(DAEMONS)
+        ]
+        self.at, self.term, self.now_ms = 0, LimiterTerm(1, 0), 0
         self.allowance = self.rng.choice(ALLOWANCES)
         self.allowed: deque[tuple[int, Allowance]] = deque([(0, self.allowance)])
         self.moved_ms: deque[int] = deque([0])
@@ -63,19 +65,19 @@
 
     def _move(self) -> None:
         self.at = self.rng.randrange(DAEMONS)
-        self.term = Term(self.term.number + 1, self.now_ms)
+        self.term = LimiterTerm(self.term.number + 1, self.now_ms)
         self.moved_ms.append(self.now_ms)
 
     def _call(self) -> None:
         program = self.rng.choice(["", "p", "q", f"p{self.rng.randrange(50)}"])
-        ask = Ask(program, may_begin=bool(program) and self.rng.random() < 0.3)
-        home = self.homes[self.at]
-        verdict = home.ask("a", ask, self.allowance, term=self.term, now_ms=self.now_ms)
+        request = PermitRequest(program, may_begin=bool(program) and self.rng.random() < 0.3)
+        limiter = self.limiters[self.at]
+        verdict = limiter.request("a", request, self.allowance, term=self.term, now_ms=self.now_ms)
         if not isinstance(verdict, Grant):
             assert verdict.retry_after_ms > 0
             return
         if self.rng.random() < 0.05:
-            self.homes[self.at].give_back("a", self.allowance)
+            self.limiters[self.at].return_call("a", self.allowance)
             return
         self.granted += 1
         self.ran.append(_Call(self.now_ms + verdict.wait_ms, self.at))
@@ -84,21 +86,21 @@
         since_ms = self.now_ms - WINDOW_MS
         while self.ran and self.ran[0].runs_ms < since_ms:
             self.ran.popleft()
-        while self.moved_ms and self.moved_ms[0] < since_ms - MOST_WAIT_MS:
+        while self.moved_ms and self.moved_ms[0] < since_ms - MAX_WAIT_MS:
             self.moved_ms.popleft()
-        # The one in force when the window began stays.
-        while len(self.allowed) > 1 and self.allowed[1][0] < since_ms - MOST_WAIT_MS:
+        # The limit in force when the window began is still counted.
+        while len(self.allowed) > 1 and self.allowed[1][0] < since_ms - MAX_WAIT_MS:
             self.allowed.popleft()
         in_force = [allowance for _, allowance in self.allowed]
         capacity = max(one.capacity_calls for one in in_force)
         rate_per_s = max(one.rate_per_s for one in in_force)
-        most = capacity + rate_per_s * (WINDOW_MS + 2 * MOST_WAIT_MS) / 1000
-        most += FIRST_CALLS * len(self.moved_ms)
+        most = capacity + rate_per_s * (WINDOW_MS + 2 * MAX_WAIT_MS) / 1000
+        most += INITIAL_CALLS * len(self.moved_ms)
         assert len(self.ran) <= most + 1e-6
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_no_window_is_over(seed: int) -> None:
+def test_no_window_exceeds_its_limit(seed: int) -> None:
     walk = _Walk(seed)
     for _ in range(STEPS // 4):
         walk.step()
