--- a/src/quincespool/gateway/backends/attempt.py
+++ b/src/quincespool/gateway/backends/attempt.py
@@ -76,7 +76,7 @@
 
     backends: BackendTable
     pool: ConnectionPool
-    wire: Wire
+    codec: Wire
     log: DecisionLog
     metrics: Metrics
     crashes: CrashHistory
@@ -170,7 +170,7 @@
             return self.fail(event)
         assert isinstance(event, Head)
         took_s = asyncio.get_running_loop().time() - self._sent_at_s
-        head = self._context.wire.read_answer_head(event.status, event.headers)
+        head = self._context.codec.read_answer_head(event.status, event.headers)
         self._idle_timeout_s = head.idle_s
         if head.not_run:
             await self._discard_rest()
@@ -217,7 +217,7 @@
         return self.fail(AnswerBroken("no answer in time", closed=False))
 
     def _is_own_answer(self, headers: Headers) -> bool:
-        answered = self._context.wire.read_answer_head(0, headers).call_id
+        answered = self._context.codec.read_answer_head(0, headers).call_id
         return not answered or answered == self._call.call_id
 
     def _on_refused(self, status: int) -> NotRun:
--- a/src/quincespool/gateway/callers/front.py
+++ b/src/quincespool/gateway/callers/front.py
@@ -69,7 +69,7 @@
     async def handle(self, connection: Connection, request: HttpRequest) -> None:
         """Answers one request."""
         started_ms = now_ms()
-        read = self._services.wire.read_call(request)
+        read = self._services.codec.read_call(request)
         if read.is_error():
             connection.respond(self.refuse(request, read.error))
             return
@@ -134,7 +134,7 @@
 
     def refuse(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
         """Returns the answer to a request that cannot be read."""
-        call_id = self._services.wire.read_call_id(request) if request is not None else ""
+        call_id = self._services.codec.read_call_id(request) if request is not None else ""
         self._services.log.write(
             "request unreadable", call_id=call_id, status=error.status, detail=error.message
         )
@@ -144,7 +144,9 @@
     def failed(self, request: HttpRequest) -> HttpResponse:
         """Returns the answer to a request whose handling has met a fault of this program."""
         refusal = may_have_run(FAILED)
-        return _refusal_response(self._services, refusal, self._services.wire.read_call_id(request))
+        return _refusal_response(
+            self._services, refusal, self._services.codec.read_call_id(request)
+        )
 
     def _note(
         self,
@@ -245,5 +247,5 @@
     body = msgspec.json.encode(
         {"error": refusal.reason, "may_have_run": refusal.verdict is not Verdict.NOT_RUN}
     )
-    headers = services.wire.write_refusal_headers(refusal, call_id)
+    headers = services.codec.write_refusal_headers(refusal, call_id)
     return HttpResponse(refusal.status, list(headers), body)
--- a/src/quincespool/gateway/callers/plain.py
+++ b/src/quincespool/gateway/callers/plain.py
@@ -82,7 +82,7 @@
         limit_ms = left_ms
         if decision.route.kind is CallKind.IDEMPOTENT and not last:
             limit_ms = int(left_ms * FIRST_ATTEMPT_SHARE)
-        headers = self._services.wire.write_attempt_headers(
+        headers = self._services.codec.write_attempt_headers(
             call,
             account=decision.account,
             backend_id=entry.backend_id,
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -184,7 +184,7 @@
             if kept is None:
                 raise BrokenTurnError(self._refusal(NotRun("history_gone", sent=False)))
             history = kept
-        headers = self._services.wire.write_attempt_headers(
+        headers = self._services.codec.write_attempt_headers(
             call,
             account=self._terms.account,
             backend_id=entry.backend_id,
--- a/src/quincespool/limits/account_limiter.py
+++ b/src/quincespool/limits/account_limiter.py
@@ -146,7 +146,7 @@
           term: The term in which this daemon is the account's limiter.
           now_ms: Steady clock.
         """
-        account = self._open(name, allowance, term=term, now_ms=now_ms)
+        account = self._refilled_account(name, allowance, term=term, now_ms=now_ms)
         if request.reported_calls is not None and self._is_early(account.term, now_ms):
             account = _with_reported_calls(account, request.reported_calls, allowance)
             self._accounts[name] = account
@@ -185,7 +185,9 @@
         """Returns the level of each account's bucket as of its last call, for dumps."""
         return {name: round(one.bucket.level_calls, 1) for name, one in self._accounts.items()}
 
-    def _open(self, name: str, allowance: Allowance, *, term: LimiterTerm, now_ms: int) -> _Account:
+    def _refilled_account(
+        self, name: str, allowance: Allowance, *, term: LimiterTerm, now_ms: int
+    ) -> _Account:
         known = self._accounts.get(name)
         if known is None or known.term.number != term.number:
             known = self._begin_term(known, allowance, term=term, now_ms=now_ms)
--- a/src/quincespool/limits/recent_permits.py
+++ b/src/quincespool/limits/recent_permits.py
@@ -29,7 +29,7 @@
 MAX_ACCOUNTS = 5_000
 
 
-class _Known(NamedTuple):
+class _AccountState(NamedTuple):
     """What is known of one account.
 
     Attributes:
@@ -53,7 +53,7 @@
 
     def __init__(self, *, window_ms: int) -> None:
         self._window_ms = window_ms
-        self._accounts: dict[str, _Known] = {}
+        self._accounts: dict[str, _AccountState] = {}
 
     def record_verdict(self, name: str, verdict: Verdict, limiter_id: str, now_ms: int) -> None:
         """Records the latest verdict of an account's limiter."""
@@ -99,8 +99,8 @@
         self._put(name, known._replace(bucket=bucket.with_calls(-1.0) if is_allowed else bucket))
         return is_allowed
 
-    def _known(self, name: str, now_ms: int) -> _Known:
-        return self._accounts.get(name) or _Known(Bucket(CAPACITY_CALLS, now_ms))
+    def _known(self, name: str, now_ms: int) -> _AccountState:
+        return self._accounts.get(name) or _AccountState(Bucket(CAPACITY_CALLS, now_ms))
 
-    def _put(self, name: str, known: _Known) -> None:
+    def _put(self, name: str, known: _AccountState) -> None:
         put_newest(self._accounts, name, known, most=MAX_ACCOUNTS)
