--- a/src/quincespool/gateway/accounts/limits.py
+++ b/src/quincespool/gateway/accounts/limits.py
@@ -42,7 +42,7 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.links import Links
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.model import Account
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Daemon
@@ -109,7 +109,7 @@
         member_id: str,
         partitions: list[Partition],
         routes: RouteTable,
-        members: Members,
+        members: MemberTable,
         ownership: Ownership,
         links: Links,
         log: DecisionLog,
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -23,8 +23,8 @@
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.futures import keep_running
 from quincespool.gateway.live_settings import LiveSettings
+from quincespool.gateway.members.member_table import MemberTable
 from quincespool.gateway.members.presence import Presence
-from quincespool.gateway.members.table import Members
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.planned_stop import PlannedStop
 from quincespool.gateway.store.beliefs import Beliefs
@@ -110,7 +110,7 @@
         self._pool = ConnectionPool(
             on_open=lambda: self._metrics.count("gateway_backend_connections_total")
         )
-        self._members = Members(settings.member_id)
+        self._members = MemberTable(settings.member_id)
         self._crashes = CrashWatch()
         self._backend_reports = BackendReports(
             settings.member_id,
@@ -177,28 +177,28 @@
             ),
             wire=self._wire,
             members=self._members,
-            beliefs=self._beliefs,
+            cluster_view=self._beliefs,
             ownership=self._ownership,
             partition_count=self._parts.partition_count,
             crashes=self._crashes,
             backend_reports=self._backend_reports,
             log=self._log,
-            on_silent=lambda daemon: self._links.doubt(daemon.peer_address),
+            on_silent=lambda daemon: self._links.close_if_dead(daemon.peer_address),
         )
 
     # These parts need one another; what they report goes through here.
 
     def _tell_crash(self, mark: str, backend_id: str) -> None:
-        self._presence.tell_crash(mark, backend_id)
+        self._presence.announce_crash(mark, backend_id)
 
     def _tell_report(self, report: BackendReport) -> None:
-        self._presence.tell_report(report)
+        self._presence.announce_backend_report(report)
 
     def _greet(self, daemon: Daemon) -> None:
-        self._presence.greet(daemon)
+        self._presence.send_heartbeat_to(daemon)
 
     def _note_refused(self, peer_address: str) -> None:
-        self._presence.note_refused(peer_address)
+        self._presence.record_refused_connection(peer_address)
 
     def _ask_for_configuration(self, peer_id: str, version: int) -> None:
         self._parts.copies.heard(peer_id, version)
@@ -207,7 +207,7 @@
         self._parts.copies.caught_up()
 
     def _tell_claims(self) -> None:
-        self._presence.tell_claims()
+        self._presence.send_claims()
 
     def _leaves_time_until(self, until_ms: int) -> bool:
         return self._stop.leaves_time_until(until_ms)
--- a/src/quincespool/gateway/members/__init__.py
+++ b/src/quincespool/gateway/members/__init__.py
@@ -1,1 +1,1 @@
-"""The other daemons: who lives, links and messages between them."""
+"""The other daemons of the group: membership, heartbeats, links and messages."""
--- a/src/quincespool/gateway/members/heartbeats.py
+++ b/src/quincespool/gateway/members/datagram_socket.py
@@ -1,4 +1,4 @@
-"""Heartbeats between daemons over UDP: who lives, what each one has under way and owns."""
+"""UDP socket for heartbeats and notices between daemons."""
 
 from __future__ import annotations
 
@@ -17,20 +17,24 @@
     from quincespool.gateway.model import Daemon
 
 
-class Heartbeats(asyncio.DatagramProtocol):
-    """The datagram socket of a daemon."""
+class DatagramSocket(asyncio.DatagramProtocol):
+    """Sends and receives messages as UDP datagrams.
+
+    Attributes:
+      undecodable_count: Received datagrams that could not be decoded.
+    """
 
     def __init__(self, member_id: str, *, on_datagram: Callable[[str, Any], None]) -> None:
         self._member_id = member_id
         self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
-        self.undecoded = 0
+        self.undecodable_count = 0
 
     async def start(self, host: str, port: int) -> None:
         """Binds the port.
 
         Raises:
-          OSError: if it cannot be had.
+          OSError: if the port cannot be bound.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -41,7 +45,7 @@
             self._transport.close()
 
     def send(self, daemons: list[Daemon], message: Any) -> None:
-        """Sends a message to some daemons; what is lost is lost."""
+        """Sends a message to each of some daemons; lost datagrams are not sent again."""
         if self._transport is None:
             return
         data = CODEC.encode(self._member_id, message)
@@ -49,18 +53,18 @@
             self._transport.sendto(data, split_address(daemon.peer_address))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the socket."""
+        """Stores the transport; see `asyncio.BaseProtocol`."""
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hands a datagram on, if it is one."""
+        """Decodes a datagram and passes it to `on_datagram`; counts undecodable ones."""
         del addr
         try:
             sender, message = CODEC.decode(data)
         except CodecError:
-            self.undecoded += 1
+            self.undecodable_count += 1
             return
         self._on_datagram(sender, message)
 
     def error_received(self, exc: Exception) -> None:
-        """Passes over unreachable ports; a daemon that is gone shows by its silence."""
+        """Ignores unreachable ports; missing heartbeats tell that a daemon has stopped."""
--- a/src/quincespool/gateway/members/links.py
+++ b/src/quincespool/gateway/members/links.py
@@ -1,4 +1,4 @@
-"""TCP links between daemons: frames with one message each, in both directions."""
+"""TCP links between daemons; each frame holds one message, in both directions."""
 
 from __future__ import annotations
 
@@ -25,19 +25,21 @@
     from collections.abc import Callable
 
 CONNECT_LIMIT_S = 0.5
-# What is sent and not acknowledged for this long has met a dead host or a link that went silent;
-# the turns on it are given back while their callers still wait.
+# Data that stays unacknowledged for this long means a dead host or a link that carries nothing any
+# more; its turns are given back while their callers still wait.
 UNACKNOWLEDGED_MS = 800
 PROBE_INTERVAL_S = 0.4
-# A link on which nothing is waited for is left to the kernel's probes, which wake no process. In a
-# large group, messages on all idle links would wake each daemon more often than its callers do.
+# Links without a pending answer are checked only by the kernel's keepalive probes, which wake no
+# process. In a large group, messages on all idle links would wake a daemon more often than its
+# callers do.
 IDLE_BEFORE_PROBES_S = 3
-# A process that is not heard and whose host lives, as one short of processor time, has the turns on
-# its link kept so long; callers leave a stream after two seconds without an event.
+# Turns stay on the link of a process that sends nothing while its host still acknowledges, such as
+# one short of processor time, for this long; callers leave a stream after two seconds without an
+# event.
 STALL_LIMIT_S = 0.6
 MAX_UNSENT_BYTES = 8_000_000
-# A link that is lost sooner is made again only when it is needed: a peer that takes links and ends
-# them at once would be connected to without pause.
+# A link that is lost sooner than this is reconnected only when it is needed next: otherwise a peer
+# that accepts links and closes them at once would be connected to without pause.
 MIN_RECONNECT_S = 0.2
 
 
@@ -45,10 +47,10 @@
     """One connection to another daemon.
 
     Attributes:
-      lost: Whether it is over.
-      detail: Why it is over, as far as known; empty if this daemon has broken it off.
-      waiting: Answers that are to come on it.
-      made_s: Steady clock at which it was made.
+      lost: Whether the connection is closed.
+      detail: Why it was closed, if known; empty if this daemon closed it.
+      pending_answers: Number of answers that are expected on it.
+      connected_s: Monotonic clock in seconds at which it was created.
     """
 
     def __init__(
@@ -65,79 +67,80 @@
         self._transport: asyncio.Transport | None = None
         self.lost = False
         self.detail = ""
-        self.waiting = 0
-        self.made_s = time.monotonic()
-        self._heard_s = self.made_s
-        self._doubted_s: float | None = None
+        self.pending_answers = 0
+        self.connected_s = time.monotonic()
+        self._last_received_s = self.connected_s
+        self._silent_since_s: float | None = None
 
-    def trust(self) -> None:
-        """Takes note that the other daemon is heard."""
-        self._doubted_s = None
+    def record_alive(self) -> None:
+        """Records that heartbeats of the other daemon arrive."""
+        self._silent_since_s = None
 
     def is_dead(self) -> bool:
-        """Whether a daemon that is not heard any more is to be given up, with what waits on it.
+        """Whether the link to a daemon that has fallen silent should be closed.
 
-        A host without power acknowledges nothing, and the kernel sends the last probe again and
-        again. One that acknowledges lives; its process may only stall, and goes on with its turns.
+        A host without power acknowledges nothing, and the kernel retransmits the last probe again
+        and again. A host that acknowledges is alive; its process may only be stalled, and will go
+        on with its turns.
         """
         now_s = time.monotonic()
-        if self._doubted_s is None:
-            self._doubted_s = now_s
-        if not self.waiting or self._transport is None or is_resending(self._transport):
+        if self._silent_since_s is None:
+            self._silent_since_s = now_s
+        if not self.pending_answers or self._transport is None or is_resending(self._transport):
             return True
-        return now_s - max(self._doubted_s, self._heard_s) >= STALL_LIMIT_S
+        return now_s - max(self._silent_since_s, self._last_received_s) >= STALL_LIMIT_S
 
     def send(self, message: Any) -> bool:
-        """Sends a message; returns whether the link is there to take it."""
+        """Sends a message; returns False if the link is closed."""
         if self.lost or self._transport is None:
             return False
         self._transport.write(frame(CODEC.encode(self._member_id, message)))
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            # A daemon that does not read would make this one hold everything that is meant for it.
+            # Otherwise this daemon would buffer without bound for a peer that does not read.
             self.close()
         return True
 
     def close(self) -> None:
-        """Breaks the link off."""
+        """Aborts the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Limits how long silence goes unnoticed."""
+        """Sets the socket options that limit how long a silent link goes unnoticed."""
         self._transport = cast("asyncio.Transport", transport)
         limit_silence(
             self._transport, unacknowledged_ms=UNACKNOWLEDGED_MS, idle_s=IDLE_BEFORE_PROBES_S
         )
 
     def data_received(self, data: bytes) -> None:
-        """Hands whole messages on."""
-        self._heard_s = time.monotonic()
+        """Decodes complete messages and passes them to `on_message`; drops probes."""
+        self._last_received_s = time.monotonic()
         self._frames.feed(data)
         try:
             while (message := self._frames.next_message()) is not None:
                 sender, decoded = CODEC.decode(message)
                 if not isinstance(decoded, LinkProbe):
-                    self._hand_on(sender, decoded)
+                    self._dispatch(sender, decoded)
         except (FrameError, CodecError):
-            # Not a daemon of this version; nothing that follows on this link can be read.
+            # The peer speaks another protocol version; nothing else on this link can be decoded.
             self.close()
 
-    def _hand_on(self, sender: str, message: Any) -> None:
-        """Hands a message on; a fault with one is no reason to end what else is on the link."""
+    def _dispatch(self, sender: str, message: Any) -> None:
+        """Passes a message on; an error in its handler must not end the other calls on the link."""
         try:
             self._on_message(self, sender, message)
         except Exception as error:
             report_fault("message not handled", error)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells what is on the link that it is over."""
+        """Reports the closed link to its owner, so that pending calls on it can fail."""
         self.lost = True
         self.detail = repr(exc) if exc is not None else ""
         self._on_lost(self)
 
 
 class Links:
-    """The links of one daemon: one outgoing link to each other one, made when it is needed."""
+    """The links of one daemon: one outgoing link to each peer, connected on demand."""
 
     def __init__(
         self,
@@ -147,13 +150,13 @@
         on_lost: Callable[[Link], None],
         on_refused: Callable[[str], None],
     ) -> None:
-        """Makes the links.
+        """Creates an empty set of links.
 
         Args:
-          member_id: Of this daemon.
-          on_message: Takes the link, the sender and the message.
-          on_lost: Takes a link that is over.
-          on_refused: Takes the address of a host where nothing listens any more.
+          member_id: Id of this daemon.
+          on_message: Called with the link, the sender's member id and the message.
+          on_lost: Called with a link that was closed.
+          on_refused: Called with the address of a peer that refuses connections.
         """
         self._member_id = member_id
         self._on_message = on_message
@@ -166,15 +169,15 @@
         self._listener = Listener(self._make_incoming)
 
     async def start(self, host: str, port: int) -> None:
-        """Listens.
+        """Starts to listen for links of other daemons.
 
         Raises:
-          OSError: if the port cannot be had.
+          OSError: if the port cannot be bound.
         """
         await self._listener.start(host, port)
 
     def stop(self) -> None:
-        """Ends all links."""
+        """Stops listening and closes all links."""
         self._listener.stop()
         for task in self._reconnecting:
             task.cancel()
@@ -184,7 +187,7 @@
             link.close()
 
     async def get(self, address: str) -> Link | None:
-        """Returns the link to a daemon, None if there is none to be had."""
+        """Returns the link to a daemon, connecting if needed; None if the connection fails."""
         link = self._outgoing.get(address)
         if link is not None and not link.lost:
             return link
@@ -195,33 +198,33 @@
             return await self._connect(address)
 
     async def probe(self) -> None:
-        """Keeps sending a little on links that are waited on, so that a silent one is noticed."""
+        """Sends probes on links with pending answers, so that a silent link is noticed."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
             for address, link in list(self._outgoing.items()):
                 if link.lost:
                     del self._outgoing[address]
-                elif link.waiting:
+                elif link.pending_answers:
                     link.send(LinkProbe(sent_ms=int(time.monotonic() * 1000)))
 
-    def doubt(self, address: str) -> None:
-        """Breaks the link to a daemon that is not heard any more, unless it may only stall."""
+    def close_if_dead(self, address: str) -> None:
+        """Closes the link to a daemon that has fallen silent, unless it may only be stalled."""
         link = self._outgoing.get(address)
         if link is not None and link.is_dead():
             del self._outgoing[address]
             link.close()
 
-    def trust(self, address: str) -> None:
-        """Takes note that a daemon is heard."""
+    def record_alive(self, address: str) -> None:
+        """Records that heartbeats of a daemon arrive."""
         link = self._outgoing.get(address)
         if link is not None:
-            link.trust()
+            link.record_alive()
 
     async def _connect(self, address: str) -> Link | None:
         link = Link(
             self._member_id,
             on_message=self._on_message,
-            on_lost=lambda link: self._lose_outgoing(address, link),
+            on_lost=lambda link: self._on_outgoing_lost(address, link),
         )
         host, port = split_address(address)
         try:
@@ -235,22 +238,22 @@
         self._outgoing[address] = link
         return link
 
-    def _lose_outgoing(self, address: str, link: Link) -> None:
+    def _on_outgoing_lost(self, address: str, link: Link) -> None:
         self._on_lost(link)
         if self._outgoing.get(address) is not link:
             return
-        # A process that was killed resets its links; only another attempt tells that from a link
-        # that was reset, and the end of its lease should not wait for the next turn.
+        # Both a killed process and a network fault reset links. Only a new connection attempt tells
+        # which it was, and a killed process's lease should end before the next turn needs it.
         del self._outgoing[address]
-        if time.monotonic() - link.made_s < MIN_RECONNECT_S:
+        if time.monotonic() - link.connected_s < MIN_RECONNECT_S:
             return
         start_kept(self.get(address), self._reconnecting)
 
     def _make_incoming(self) -> Link:
-        link = Link(self._member_id, on_message=self._on_message, on_lost=self._lose_incoming)
+        link = Link(self._member_id, on_message=self._on_message, on_lost=self._on_incoming_lost)
         self._incoming.add(link)
         return link
 
-    def _lose_incoming(self, link: Link) -> None:
+    def _on_incoming_lost(self, link: Link) -> None:
         self._incoming.discard(link)
         self._on_lost(link)
--- a/src/quincespool/gateway/members/messages.py
+++ b/src/quincespool/gateway/members/messages.py
@@ -1,4 +1,4 @@
-"""What gateway daemons send one another; `schema/gateway.capnp` has the same structs."""
+"""Messages between gateway daemons; `schema/gateway.capnp` has the same structs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PartitionClaim(NamedTuple):
-    """A partition that the sender owns, and the epoch under which it writes."""
+    """A partition that the sender owns, and the epoch under which it writes to it."""
 
     topic: str
     number: int
@@ -19,11 +19,14 @@
 
 
 class Heartbeat(NamedTuple):
-    """By datagram; each replaces the last one of its sender.
+    """State of the sender, sent as a datagram; each one replaces the sender's previous one.
 
     Attributes:
-      engine_id: An engine whose speed differs from that of others; empty if none is to be told of.
-      engine_event_us: Mean time between the events of a stream of it.
+      incarnation: Start time of the sender's process.
+      sequence: Number of the heartbeat within the incarnation.
+      generation: Generation of the consumer group that the sender knows.
+      engine_id: An engine whose speed differs from that of the others; empty if none is reported.
+      engine_event_us: Mean time between the events of a stream of that engine, in microseconds.
     """
 
     incarnation: int
@@ -38,17 +41,17 @@
 
 
 class HeaderPair(NamedTuple):
-    """One header."""
+    """Name and value of one HTTP header."""
 
     name: str
     value: str
 
 
 class RelayCall(NamedTuple):
-    """A turn for the owner of its program. Numbers of -1 mean that the caller did not say.
+    """A turn that is relayed to the owner of its program; -1 stands for a number not given.
 
     Attributes:
-      kind: Of the route, as daemons of earlier releases read it; turns are always streams.
+      kind: Kind of the route, for daemons of earlier releases; turns are always streams.
     """
 
     relay_id: int
@@ -83,13 +86,13 @@
 
 
 class RelayCancel(NamedTuple):
-    """The caller has gone, or the receiver has given the call up."""
+    """Cancels a relayed call: its caller has disconnected, or the sender has given it up."""
 
     relay_id: int
 
 
 class RelayHead(NamedTuple):
-    """The head of the answer."""
+    """Status and headers of the answer to a relayed call."""
 
     relay_id: int
     status: int
@@ -97,20 +100,20 @@
 
 
 class RelayPiece(NamedTuple):
-    """A piece of the answer's body."""
+    """A chunk of the answer's body."""
 
     relay_id: int
     data: bytes
 
 
 class RelayEnd(NamedTuple):
-    """The answer is whole."""
+    """Ends a complete answer."""
 
     relay_id: int
 
 
 class RelayRefused(NamedTuple):
-    """The owner's own final answer; after a head it means that the answer breaks off."""
+    """Refusal by the owner itself; after a `RelayHead` it means that the answer is incomplete."""
 
     relay_id: int
     status: int
@@ -120,10 +123,10 @@
 
 
 class SettleTurn(NamedTuple):
-    """A record of a turn whose daemon has lost the partition meanwhile.
+    """A record of a turn whose daemon has lost ownership of the partition while it ran.
 
     Attributes:
-      budget_tokens: Of the turn's program; -1 if unlimited.
+      budget_tokens: Token budget of the turn's program; -1 if unlimited.
     """
 
     settle_id: int
@@ -134,18 +137,19 @@
 
 
 class TurnSettled(NamedTuple):
-    """What became of that record, as in `Settlement`."""
+    """Outcome of a `SettleTurn`, a value of `Settlement`."""
 
     settle_id: int
     outcome: str
 
 
 class FindTurn(NamedTuple):
-    """Whoever owns the partition with this turn is asked for its history.
+    """Requests the history of a turn from whichever daemon owns its partition.
 
     Attributes:
-      certain: Whether the others, too, are to answer, for the partitions that they surely own.
-      account: Whose turn it is to be; empty where there are no accounts.
+      certain: Whether daemons without the turn answer, too, with the partitions that they are
+        confirmed to own.
+      account: Account that the turn must belong to; empty where there are no accounts.
     """
 
     find_id: int
@@ -155,7 +159,12 @@
 
 
 class TurnFound(NamedTuple):
-    """The texts of the turn and all before it, and how long it can be continued from now on."""
+    """The history of a turn.
+
+    Attributes:
+      history: The texts of the turn and of all turns before it.
+      retention_ms: For how long from now the turn can be continued from.
+    """
 
     find_id: int
     history: bytes
@@ -163,36 +172,36 @@
 
 
 class TurnForeign(NamedTuple):
-    """The receiver asked for a turn that is of another account."""
+    """The requested turn belongs to another account."""
 
     find_id: int
 
 
 class ConfigurationQuestion(NamedTuple):
-    """The sender knows no newer configuration than this, and cannot read one from the store."""
+    """Requests a configuration newer than `version`; the sender cannot read it from the store."""
 
     version: int
 
 
 class ConfigurationCopy(NamedTuple):
-    """A whole configuration, with its version, and with digests in place of keys.
+    """A complete configuration with its version; API keys are replaced by their digests.
 
     Attributes:
-      data: As `configuration_copies.write_configuration_copy` returns it.
+      data: Encoded by `configuration_copies.write_configuration_copy`.
     """
 
     data: bytes
 
 
 class PermitQuestion(NamedTuple):
-    """A call wants to run; the receiver is asked as the home of its account.
+    """Requests permission to run a call from the limiter of its account.
 
     Attributes:
       program_id: Empty for a call that belongs to no program.
       may_begin: Whether the call may be the first of its program.
-      kind: The route, which tells what the program is expected to be like.
-      told_calls: What the account had left when a home last told the sender; -1 if none has.
-      rank: Importance of the route; 0 goes first.
+      kind: Name of the route; programs of one route are expected to be alike.
+      told_calls: Calls that the account had left by the last answer of a limiter; -1 without one.
+      rank: Importance of the route; 0 is the most important.
     """
 
     permit_id: int
@@ -208,11 +217,11 @@
     """Whether the call may run.
 
     Attributes:
-      outcome: As in `permit_codec.PermitOutcome`.
-      after_ms: Of a call that may run, how long it waits first; of one that may not, when a place
-        is free.
-      is_pressed: Whether the account has used most of what it may.
-      left_calls: What it has left at the home.
+      outcome: A value of `permit_codec.PermitOutcome`.
+      after_ms: How long an admitted call waits before it runs; for a refused call, the time until
+        it may be admitted.
+      is_pressed: Whether the account is near its limit.
+      left_calls: Calls that the account has left at its limiter.
     """
 
     permit_id: int
@@ -223,7 +232,7 @@
 
 
 class PermitReturn(NamedTuple):
-    """A call of the account that was let through has reached no backend server."""
+    """Returns the permit of an admitted call that has reached no backend server."""
 
     account: str
 
@@ -236,24 +245,25 @@
 
 
 class LinkProbe(NamedTuple):
-    """Makes the kernel notice a link that has gone silent."""
+    """Traffic by which the kernel notices a silent link; the receiver ignores it."""
 
     sent_ms: int
 
 
 class CrashNotice(NamedTuple):
-    """A backend server broke off while it ran a request with this fingerprint."""
+    """A backend server lost its connection while it ran a request with this fingerprint."""
 
     fingerprint: str
     backend_id: str
 
 
 class BackendReport(NamedTuple):
-    """A call of the sender went wrong at this backend server, or is far slower than usual.
+    """A call of the sender failed at this backend server, or is far slower than usual.
 
     Attributes:
-      born_ms: Of the process that was sent the call; -1 where no backend server tells.
-      late_ms: For how long the answer has not begun, if that is all; -1 if the call has failed.
+      born_ms: Start time of the process that received the call; -1 where backend servers do not
+        publish it.
+      late_ms: How long the call has waited for its answer to begin; -1 if it has failed.
     """
 
     backend_id: str
@@ -262,9 +272,9 @@
 
 
 class SilenceNotice(NamedTuple):
-    """The sender watches this daemon and takes it to be gone.
+    """The sender watches this daemon and considers it crashed.
 
-    The daemon gets the notice too, and answers with a heartbeat to all if it lives.
+    The daemon itself gets the notice too; if it is alive, it answers with a heartbeat to all.
     """
 
     member_id: str
@@ -272,10 +282,11 @@
 
 
 class SilenceQuestion(NamedTuple):
-    """The sender watches the receiver and has not heard it for some heartbeats.
+    """Requests a heartbeat: the sender watches the receiver and has missed some of its heartbeats.
 
     Attributes:
-      incarnation: Last heard of the receiver; it answers whatever that is.
+      incarnation: Incarnation in the last heartbeat of the receiver, which answers even if its own
+        is another one.
     """
 
     incarnation: int
@@ -306,19 +317,19 @@
 CODEC = StructCodec(
     Path(quincespool.schema.__file__).with_name("gateway.capnp"),
     (*get_args(Datagram), *get_args(LinkMessage)),
-    # Heartbeats between zones are paid for by the byte.
+    # Traffic between zones is charged by the byte.
     packed=True,
 )
 
-# Stands for a number that was not given.
-_UNSAID = -1
+# Value of a number that was not given.
+_NOT_SET = -1
 
 
 def write_optional(value: int | None) -> int:
-    """Returns a number as it stands in messages, where -1 means that there is none."""
-    return _UNSAID if value is None else value
+    """Encodes an optional number for a message; -1 stands for None."""
+    return _NOT_SET if value is None else value
 
 
 def read_optional(value: int) -> int | None:
-    """Returns a number as it stands in calls."""
-    return None if value == _UNSAID else value
+    """Decodes a number that `write_optional` has encoded."""
+    return None if value == _NOT_SET else value
--- a/src/quincespool/gateway/planned_stop.py
+++ b/src/quincespool/gateway/planned_stop.py
@@ -11,8 +11,8 @@
     from quincespool.gateway.callers.http_port import HttpPort
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.live_settings import LiveSettings
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.members.presence import Presence
-    from quincespool.gateway.members.table import Members
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.relay import Relay
 
@@ -37,7 +37,7 @@
         presence: Presence,
         front_port: HttpPort,
         relay: Relay,
-        members: Members,
+        members: MemberTable,
         live: LiveSettings,
         log: DecisionLog,
     ) -> None:
@@ -79,7 +79,7 @@
         """Returns when nothing is under way any more, or the time for the stop is over."""
         kept_ms = now_ms() + ADDRESS_KEPT_FACTOR * self._live.current.addresses_valid_ms
         await self._ownership.leave()
-        self._presence.tell_left()
+        self._presence.announce_departure()
         await self._until_idle(kept_ms)
         self._front_port.stop()
         await self._until_idle(now_ms())
--- a/src/quincespool/gateway/store/beliefs.py
+++ b/src/quincespool/gateway/store/beliefs.py
@@ -22,8 +22,8 @@
     from quincespool.gateway.backends.table import Backends
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.decision_log import DecisionLog
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.members.messages import Heartbeat
-    from quincespool.gateway.members.table import Members
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import Configuration
     from quincespool.gateway.model import Daemon
@@ -122,7 +122,7 @@
         routes: RouteTable,
         backends: Backends,
         pool: ConnectionPool,
-        members: Members,
+        members: MemberTable,
         log: DecisionLog,
         now_ms: Callable[[], int],
         backends_interval_ms: Callable[[], int],
@@ -194,7 +194,7 @@
         """Takes a heartbeat in; returns whether its sender counted as silent."""
         now_ms = self._now_ms()
         alive = self._members.is_alive(sender, now_ms)
-        if sender == self._member_id or not self._members.hear(sender, beat, now_ms):
+        if sender == self._member_id or not self._members.record_heartbeat(sender, beat, now_ms):
             return False
         if beat.configuration_version > self._routes.version:
             self.configuration.read_soon()
--- a/src/quincespool/gateway/store/configuration_copies.py
+++ b/src/quincespool/gateway/store/configuration_copies.py
@@ -27,7 +27,7 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.links import Links
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
 
 # The store shows a new version to all within some tens of milliseconds; only who has none by then
 # asks the others, so that a change costs no messages as long as the store serves all.
@@ -60,7 +60,7 @@
         self,
         *,
         routes: RouteTable,
-        members: Members,
+        members: MemberTable,
         links: Links,
         log: DecisionLog,
         adopt: Callable[[Configuration, str], None],
--- a/src/quincespool/gateway/turns/finder.py
+++ b/src/quincespool/gateway/turns/finder.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.links import Links
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.partition import OwnedPartition
 
@@ -60,7 +60,7 @@
         self,
         *,
         partitions: list[Partition],
-        members: Members,
+        members: MemberTable,
         ownership: Ownership,
         links: Links,
     ) -> None:
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_parts.py
@@ -32,7 +32,7 @@
     from quincespool.gateway.backends.attempt import Services
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.members.links import Link
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.settings import GatewaySettings
     from quincespool.gateway.store.beliefs import Beliefs
     from quincespool.gateway.store.beliefs import StoreHealth
@@ -59,7 +59,7 @@
         hedged: HedgedCalls,
         store_health: StoreHealth,
         services: Services,
-        members: Members,
+        members: MemberTable,
         routes: RouteTable,
         beliefs: Beliefs,
         on_partition: Callable[[OwnedPartition, str], None],
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -43,7 +43,7 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.links import Links
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Daemon
     from quincespool.gateway.model import Headers
@@ -110,7 +110,7 @@
         *,
         member_id: str,
         partition_for: Callable[[str], Partition],
-        members: Members,
+        members: MemberTable,
         ownership: Ownership,
         links: Links,
         turns: TurnRunner,
@@ -247,7 +247,7 @@
         if not link.send(write_relay(relay_id, call, terms, left_ms=left_ms)):
             del self._pending[relay_id]
             return not_run(NOT_OWNER)
-        link.waiting += 1
+        link.pending_answers += 1
         try:
             async with asyncio.timeout((left_ms + OVERTIME_MS) / 1000):
                 return await pending.done
@@ -258,7 +258,7 @@
             link.send(RelayCancel(relay_id))
             raise
         finally:
-            link.waiting -= 1
+            link.pending_answers -= 1
             self._pending.pop(relay_id, None)
 
     def _take_answer(self, message: RelayHead | RelayPiece | RelayEnd | RelayRefused) -> None:
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/upkeep.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from quincespool.gateway.backends.quiet import QuietBackends
     from quincespool.gateway.members.links import Links
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.members.presence import Presence
-    from quincespool.gateway.members.table import Members
     from quincespool.gateway.store.beliefs import Beliefs
     from quincespool.gateway.ticker import Ticker
     from quincespool.gateway.turns.ownership import Ownership
@@ -39,7 +39,7 @@
         *,
         beliefs: Beliefs,
         presence: Presence,
-        members: Members,
+        members: MemberTable,
         links: Links,
         ownership: Ownership,
         turns: TurnRunner,
@@ -59,15 +59,15 @@
 
     def subscribe(self, ticker: Ticker) -> None:
         """Has the work done at its intervals."""
-        ticker.every(lambda: BEAT_MS, self._presence.beat)
-        ticker.every(self._daemon_silence_ms, self._presence.judge_silence)
+        ticker.every(lambda: BEAT_MS, self._presence.send_heartbeats)
+        ticker.every(self._daemon_silence_ms, self._presence.check_silence)
         ticker.every(self._backend_silence_ms, self._quiet_backends.check)
         ticker.every(lambda: UPKEEP_INTERVAL_MS, self._keep_up)
         ticker.every(lambda: EXPIRY_INTERVAL_MS, self._expire)
         ticker.every(self._renewal_interval_ms, self._renew)
 
     def _daemon_silence_ms(self) -> int:
-        due_ms = self._members.silence_due_ms(now_ms())
+        due_ms = self._members.silence_check_due_in_ms(now_ms())
         return max(SILENCE_CHECK_MS, min(due_ms, ASK_MS))
 
     def _backend_silence_ms(self) -> int:
@@ -78,12 +78,12 @@
 
     def _keep_up(self) -> None:
         self._beliefs.expire()
-        self._presence.follow_isolation()
+        self._presence.update_isolation()
         for daemon in self._members.others:
             if self._members.is_alive(daemon.member_id, now_ms()):
-                self._links.trust(daemon.peer_address)
+                self._links.record_alive(daemon.peer_address)
             else:
-                self._links.doubt(daemon.peer_address)
+                self._links.close_if_dead(daemon.peer_address)
 
     def _expire(self) -> None:
         for owned in self._ownership.owned.values():
--- a/tests/gateway/members/test_links.py
+++ b/tests/gateway/members/test_links.py
@@ -1,4 +1,4 @@
-"""Links between daemons."""
+"""Tests of the TCP links between daemons."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     import pytest
 
 INTERVALS = 30
-# The kernel sends again after 0.2 s, then after twice as long.
+# The kernel retransmits after 0.2 s, then after twice as long.
 RESENT_S = 0.5
 SO_ATTACH_FILTER = 26
-# One instruction of the kernel's filters: keep 0 bytes.
+# A socket filter of one instruction, which accepts 0 bytes of each packet.
 _RETURN_ZERO = ctypes.create_string_buffer(struct.pack("HBBI", 6, 0, 0, 0))
 
 
-async def test_links_are_probed_while_something_is_waited_for(
+async def test_links_are_probed_while_an_answer_is_pending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: daemons of a large group spend their processor time on probes.
+    """Guards against daemons of a large group spending their processor time on probes.
 
-    Events: each has a link to each other one, most of them idle; each is probed all the time.
-    Cause: only an answer that is waited for must not meet a link that went silent unseen.
+    Each daemon has a link to every other one, and most are idle. Probing all of them is needless:
+    a silent link has to be noticed only while an answer is pending on it.
     """
     monkeypatch.setattr(links, "PROBE_INTERVAL_S", 0.01)
     probes: list[Link] = []
@@ -53,7 +53,7 @@
     assert link is not None
     await asyncio.sleep(INTERVALS * 0.01)
     idle = len(probes)
-    link.waiting += 1
+    link.pending_answers += 1
     await asyncio.sleep(INTERVALS * 0.01)
     probing.cancel()
     here.stop()
@@ -63,8 +63,8 @@
     assert len(probes) >= INTERVALS / 3
 
 
-async def test_the_kernel_probes_a_link_that_went_silent_while_nothing_waited_on_it() -> None:
-    """A turn would be the first to meet a link that carries nothing any more."""
+async def test_the_kernel_probes_a_silent_link_without_pending_answers() -> None:
+    """Otherwise the next turn would be the first to find that the link is dead."""
     here, there = _make_links("here"), _make_links("there")
     await there.start("127.0.0.1", 0)
     link = await here.get(f"127.0.0.1:{there._listener.port}")
@@ -79,11 +79,11 @@
     there.stop()
 
 
-async def test_a_process_that_is_gone_is_noticed_when_its_links_are_reset() -> None:
-    """Symptom: programs of a killed process wait for the end of its lease.
+async def test_a_killed_process_is_noticed_when_its_links_are_reset() -> None:
+    """Guards against programs of a killed process waiting until its lease expires.
 
-    Events: a process is killed while its host lives; its links are reset.
-    Cause: nobody tried whether anything listens there until a turn had to be handed over.
+    The process is killed while its host is alive, so its links are reset. Without an immediate
+    connection attempt, nobody notices that nothing listens there until a turn has to be relayed.
     """
     refused: list[str] = []
     here, there = _make_links("here", refused.append), _make_links("there")
@@ -108,63 +108,63 @@
     )
 
 
-async def test_a_turn_at_a_process_that_stalls_keeps_its_link(
+async def test_the_link_of_a_pending_turn_stays_open_while_the_process_stalls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A peer that was short of processor time lost every turn that others had handed to it."""
+    """A peer that is short of processor time must not lose the turns relayed to it."""
     monkeypatch.setattr(links, "STALL_LIMIT_S", 60.0)
-    async with _linked() as (here, address, link, _):
-        link.waiting += 1
-        here.doubt(address)
+    async with _connected_links() as (here, address, link, _):
+        link.pending_answers += 1
+        here.close_if_dead(address)
         link.send(LinkProbe(sent_ms=1))
         await asyncio.sleep(RESENT_S)
-        here.doubt(address)
+        here.close_if_dead(address)
         assert await here.get(address) is link
         monkeypatch.setattr(links, "STALL_LIMIT_S", 0.0)
-        here.doubt(address)
+        here.close_if_dead(address)
         await asyncio.sleep(0)
         assert link.lost
 
 
-async def test_a_turn_at_a_host_that_acknowledges_nothing_loses_its_link_at_once(
+async def test_the_link_to_a_host_that_acknowledges_nothing_is_closed_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(links, "STALL_LIMIT_S", 60.0)
-    async with _linked() as (here, address, link, far):
+    async with _connected_links() as (here, address, link, far):
         assert far._transport is not None
         sock = far._transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, _drop_all())
-        link.waiting += 1
+        link.pending_answers += 1
         link.send(LinkProbe(sent_ms=1))
         await asyncio.sleep(RESENT_S)
-        here.doubt(address)
+        here.close_if_dead(address)
         await asyncio.sleep(0)
         assert link.lost
 
 
-async def test_a_link_on_which_nothing_waits_is_broken_when_its_daemon_is_silent() -> None:
-    async with _linked() as (here, address, link, _):
-        here.doubt(address)
+async def test_a_link_without_pending_answers_is_closed_when_its_daemon_is_silent() -> None:
+    async with _connected_links() as (here, address, link, _):
+        here.close_if_dead(address)
         await asyncio.sleep(0)
         assert link.lost
 
 
-async def test_a_daemon_that_was_heard_again_is_doubted_anew(
+async def test_a_heartbeat_restarts_the_stall_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(links, "STALL_LIMIT_S", 0.2)
-    async with _linked() as (here, address, link, _):
-        link.waiting += 1
-        here.doubt(address)
+    async with _connected_links() as (here, address, link, _):
+        link.pending_answers += 1
+        here.close_if_dead(address)
         await asyncio.sleep(0.3)
-        here.trust(address)
-        here.doubt(address)
+        here.record_alive(address)
+        here.close_if_dead(address)
         assert not link.lost
 
 
 @contextlib.asynccontextmanager
-async def _linked() -> AsyncIterator[tuple[Links, str, Link, Link]]:
-    """Yields links, the address of others, and both ends of the link between them."""
+async def _connected_links() -> AsyncIterator[tuple[Links, str, Link, Link]]:
+    """Yields the links of one daemon, the address of another, and both ends of their link."""
     here, there = _make_links("here"), _make_links("there")
     await there.start("127.0.0.1", 0)
     address = f"127.0.0.1:{there._listener.port}"
@@ -179,5 +179,5 @@
 
 
 def _drop_all() -> bytes:
-    """Returns a socket filter that drops all that comes, which the kernel then acknowledges not."""
+    """Returns a socket filter that drops all packets, so that none is acknowledged."""
     return struct.pack("HP", 1, ctypes.addressof(_RETURN_ZERO))
--- a/tests/gateway/members/test_presence.py
+++ b/tests/gateway/members/test_presence.py
@@ -1,21 +1,21 @@
-"""What a daemon tells the others, and when."""
+"""Tests of what a daemon announces to the others, and when."""
 
 from __future__ import annotations
 
 import asyncio
 
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.members.presence import ANNOUNCE_S
+from quincespool.gateway.members.presence import ANNOUNCE_INTERVAL_S
 from quincespool.policy.silence import ASK_MS
 from tests.gateway.gateway_cluster import GatewayCluster
 
 
-async def test_a_stop_that_follows_another_announcement_is_told_at_once() -> None:
-    """Symptom: callers are sent to a daemon that is stopping, until its next heartbeat comes round.
+async def test_a_stop_is_announced_soon_after_another_announcement() -> None:
+    """Guards against callers being sent to a stopping daemon until its next periodic heartbeat.
 
-    Events: it takes a partition over and tells so; within some milliseconds it is asked to stop.
-    Cause: announcements are gathered for a moment, and what came in it was told only if partitions
-    had changed.
+    The daemon announces that it has taken over a partition, and is asked to stop some milliseconds
+    later. Announcements within a short time are sent together at its end, and the second one must
+    be sent even if no partition has changed.
     """
     async with GatewayCluster(2) as cluster:
         presence = cluster.nodes["a"].daemon._presence
@@ -23,16 +23,15 @@
         presence.announce()
         presence.draining = True
         presence.announce()
-        await asyncio.sleep(3 * ANNOUNCE_S)
+        await asyncio.sleep(3 * ANNOUNCE_INTERVAL_S)
 
         assert cluster.nodes["b"].daemon._members.is_draining("a")
 
 
-async def test_a_daemon_that_is_asked_shows_that_it_lives() -> None:
-    """Symptom: a daemon whose heartbeats were lost loses its partitions.
+async def test_a_silent_daemon_answers_a_probe_with_a_heartbeat() -> None:
+    """Guards against a daemon losing its partitions because some heartbeats in a row were lost.
 
-    Events: some heartbeats of a daemon are lost in a row; its watcher judges it by that alone.
-    Cause: nobody asked the daemon.
+    Its watcher has to request a heartbeat before it considers the daemon crashed.
     """
     async with GatewayCluster(2) as cluster:
         asker, asked = cluster.nodes["a"].daemon, cluster.nodes["b"].daemon
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -8,8 +8,8 @@
 from typing import cast
 
 from quincespool.gateway.clock import now_ms
+from quincespool.gateway.members.member_table import MemberTable
 from quincespool.gateway.members.messages import Heartbeat
-from quincespool.gateway.members.table import Members
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.planned_stop import ANSWER_MARGIN_MS
 from quincespool.gateway.planned_stop import STOP_MARGIN_MS
@@ -75,11 +75,11 @@
     relay: SimpleNamespace | None = None,
     *,
     took_over_ms: int = 0,
-    members: Members | None = None,
+    members: MemberTable | None = None,
 ) -> PlannedStop:
     live = SimpleNamespace(current=SimpleNamespace(stop_grace_s=GRACE_S, addresses_valid_ms=10))
     quiet = SimpleNamespace(
-        tell_left=lambda: None,
+        announce_departure=lambda: None,
         draining=False,
         announce=lambda: None,
         write_always=lambda *_, **__: None,
@@ -91,7 +91,7 @@
         presence=cast("Presence", quiet),
         front_port=cast("HttpPort", port),
         relay=cast("Relay", relay or quiet),
-        members=members or Members("a"),
+        members=members or MemberTable("a"),
         live=cast("LiveSettings", live),
         log=cast("DecisionLog", quiet),
     )
@@ -132,9 +132,9 @@
 async def test_the_last_owner_of_a_partition_stays_while_another_daemon_stops() -> None:
     port = _Port()
     port.events.clear()
-    members = Members("a")
+    members = MemberTable("a")
     members.put(Daemon("b", 1, "z", "b:1", "b:2"), now_ms())
-    members.hear("b", _draining_beat(), now_ms())
+    members.record_heartbeat("b", _draining_beat(), now_ms())
     stop = _make_stop(port, took_over_ms=now_ms(), members=members)
     stop.begin()
     draining = asyncio.create_task(stop.drain())
