--- a/src/quincespool/gateway/callers/__init__.py
+++ b/src/quincespool/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' requests and the gateway's own ports: routes, plain calls, answers."""
+"""Requests of callers and the gateway's HTTP ports: routing, plain calls and answers."""
--- a/src/quincespool/gateway/callers/caller_limits.py
+++ b/src/quincespool/gateway/callers/caller_limits.py
@@ -1,4 +1,4 @@
-"""What operators allow callers, as limits of one connection."""
+"""Derives the limits of a caller's connection from the configuration."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 if TYPE_CHECKING:
     from quincespool.gateway.model import CallerLimits
 
-# Callers close idle connections a little before the limit that they know.
+# Callers close idle connections a little before the configured limit. With this margin the daemon
+# closes them later than they do.
 IDLE_MARGIN_MS = 2_000
-# A caller that just keeps the limit counts from when it sends, not from when that arrives.
+# A caller that just keeps to the limit counts from when it sends, which is before the data arrives.
 HEAD_MARGIN_MS = 500
 
 
 def connection_limits(limits: CallerLimits) -> ConnectionLimits:
-    """Returns the limits of a connection of a caller."""
+    """Returns the limits of a caller's connection."""
     idle_s = (limits.idle_ms + IDLE_MARGIN_MS) / 1000
     return ConnectionLimits(
         max_head_bytes=limits.max_head_bytes,
--- a/src/quincespool/gateway/callers/http_port.py
+++ b/src/quincespool/gateway/callers/http_port.py
@@ -1,4 +1,4 @@
-"""One HTTP port of the gateway: connections, memory bounds, and a handler for each request."""
+"""An HTTP port of the gateway: accepts connections and runs a handler for each request."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     from quincespool.net.requests import HttpRequest
     from quincespool.net.requests import RequestError
 
-# A quarter of the memory of a small host.
+# A quarter of the memory of a small host, for the request bodies of one port.
 MAX_BODIES_BYTES = 32_000_000
-# Descriptors kept free for backend servers, other daemons and the store.
+# Leaves file descriptors for connections to backend servers, other daemons and the store.
 MAX_CONNECTIONS = 6_000
 OVERLOAD_RETRY_S = "0.5"
 
@@ -32,22 +32,22 @@
     """Answers the requests of one port."""
 
     def handle(self, connection: Connection, request: HttpRequest) -> Coroutine[None, None, None]:
-        """Answers a request on its connection; cancelled if its caller leaves."""
+        """Answers a request on its connection; cancelled if the caller disconnects."""
 
-    def refuse(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
+    def make_error_response(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
         """Returns the answer to a request that cannot be read."""
 
-    def failed(self, request: HttpRequest) -> HttpResponse:
-        """Returns the answer to a request whose handling has met a fault of this program."""
+    def make_fault_response(self, request: HttpRequest) -> HttpResponse:
+        """Returns the answer to a request whose handler raised an unexpected exception."""
 
 
 class HttpPort:
-    """Accepts connections and runs one task a request.
+    """Accepts connections and runs one task for each request.
 
     Attributes:
       max_body_bytes: Largest request body.
-      draining: Whether answers ask callers to close their connections.
-      bodies: Memory of request bodies.
+      draining: Whether answers tell callers to close their connections.
+      bodies: Memory budget for request bodies.
     """
 
     def __init__(
@@ -68,35 +68,35 @@
         self._listener = Listener(lambda: Connection(self, limits()))
 
     @property
-    def busy(self) -> int:
-        """Requests under way."""
+    def active_requests(self) -> int:
+        """Number of requests in progress."""
         return sum(connection.busy for connection in self._connections)
 
     @property
     def connection_count(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._connections)
 
     async def start(self, host: str, port: int) -> None:
-        """Listens.
+        """Starts to listen.
 
         Raises:
-          OSError: if the port cannot be had.
+          OSError: if the port cannot be bound.
         """
         await self._listener.start(host, port)
 
     def stop(self) -> None:
-        """Accepts no more connections and closes the idle ones."""
+        """Stops accepting connections and closes the idle ones."""
         self._listener.stop()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the connections without a request."""
+        """Closes the connections that have no request in progress."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
-    async def cut_off(self) -> None:
-        """Ends the requests under way; their handlers say so to their callers."""
+    async def cancel_requests(self) -> None:
+        """Cancels the requests in progress; their handlers answer the callers accordingly."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -130,7 +130,7 @@
 
     def refuse(self, connection: Connection, error: RequestError) -> None:
         """See `ConnectionOwner.refuse`."""
-        connection.respond(self._handler.refuse(None, error))
+        connection.respond(self._handler.make_error_response(None, error))
 
     def overloaded(self, connection: Connection) -> None:
         """See `ConnectionOwner.overloaded`."""
@@ -146,4 +146,4 @@
         error = task.exception()
         if error is not None:
             report_fault("request failed", error)
-            connection.fail(request, self._handler.failed(request))
+            connection.fail(request, self._handler.make_fault_response(request))
--- a/src/quincespool/gateway/callers/plain.py
+++ b/src/quincespool/gateway/callers/plain_calls.py
@@ -1,4 +1,4 @@
-"""Calls that generate no tokens: sent straight to a backend server, answered as a whole."""
+"""Calls that generate no tokens: sent straight to a backend server and answered unstreamed."""
 
 from __future__ import annotations
 
@@ -21,84 +21,93 @@
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Decision
 
-# Backend servers tried that could not be reached or refused the call; each costs a round trip.
+# Bounds the backend servers tried that are unreachable or refuse the call; each costs a round trip.
 MAX_REFUSALS = 4
-# When all are full a place is free after about one call; callers come back within this time.
+# When all backend servers are full, a slot gets free after about one call; callers are told to
+# retry after this time.
 FULL_RETRY_MS = 200
 NO_BACKEND_RETRY_MS = 400
-# A backend server that has not answered an idempotent call in this part of the time left is not
-# going to; the rest is enough for another one.
+# A backend server that has not answered an idempotent call within this share of the remaining time
+# is not expected to; the rest is enough for another attempt.
 FIRST_ATTEMPT_SHARE = 0.5
-# Handed on with the deadline: the way back of the answer.
-WAY_MS = 10
+# Subtracted from the deadline that the backend server gets: time for the answer to travel back.
+ANSWER_TRIP_MS = 10
 
 
-class PlainCalls:
-    """Serves plain calls."""
+class PlainCallHandler:
+    """Sends plain calls to backend servers, and repeats idempotent ones that failed."""
 
-    def __init__(self, services: Services) -> None:
-        self._services = services
+    def __init__(self, context: Services) -> None:
+        self._context = context
 
     async def run(self, call: Call, decision: Decision, *, until_ms: int) -> Whole | Refusal:
-        """Returns the answer of a backend server, or the gateway's own final answer.
+        """Returns the answer of a backend server, or the gateway's refusal.
 
         Args:
           call: The call.
-          decision: Where it goes.
-          until_ms: Steady clock at which the caller or the route has waited long enough.
+          decision: Route, service and account of the call.
+          until_ms: Monotonic clock in ms at which the time limit of the caller or the route ends.
         """
         tried: set[str] = set()
         sent = 0
         refusals = 0
         outcome: Whole | NotRun | Lost = NotRun("no_backend", sent=False)
         while sent < decision.route.max_attempts and refusals < MAX_REFUSALS:
-            entry = self._services.backends.choose(
+            entry = self._context.backends.choose(
                 decision.service.name,
                 now_ms=now_ms(),
                 exclude=frozenset(tried),
-                connected=self._services.pool.connected(),
+                connected=self._context.pool.connected(),
             )
             if entry is None or now_ms() >= until_ms:
                 break
             tried.add(entry.backend_id)
-            last = sent + 1 >= decision.route.max_attempts
-            result = await self._attempt(call, decision, entry, until_ms=until_ms, last=last)
+            is_last_attempt = sent + 1 >= decision.route.max_attempts
+            result = await self._attempt(
+                call, decision, entry, until_ms=until_ms, is_last_attempt=is_last_attempt
+            )
             if isinstance(result, NotRun):
                 refusals += 1
                 outcome = outcome if isinstance(outcome, Lost) else result
                 continue
             sent += 1
             outcome = result
-            if decision.route.kind is not CallKind.IDEMPOTENT or _is_sound(result):
+            if decision.route.kind is not CallKind.IDEMPOTENT or _is_success(result):
                 break
-        return _final(outcome, timed_out=now_ms() >= until_ms)
+        return _final_answer(outcome, timed_out=now_ms() >= until_ms)
 
     async def _attempt(
-        self, call: Call, decision: Decision, entry: BackendEntry, *, until_ms: int, last: bool
+        self,
+        call: Call,
+        decision: Decision,
+        entry: BackendEntry,
+        *,
+        until_ms: int,
+        is_last_attempt: bool,
     ) -> Whole | NotRun | Lost:
         left_ms = until_ms - now_ms()
         limit_ms = left_ms
-        if decision.route.kind is CallKind.IDEMPOTENT and not last:
+        if decision.route.kind is CallKind.IDEMPOTENT and not is_last_attempt:
             limit_ms = int(left_ms * FIRST_ATTEMPT_SHARE)
-        headers = self._services.wire.write_attempt_headers(
+        headers = self._context.wire.write_attempt_headers(
             call,
             account=decision.account,
             backend_id=entry.backend_id,
-            left_ms=max(1, left_ms - WAY_MS),
+            left_ms=max(1, left_ms - ANSWER_TRIP_MS),
             priority=None,
         )
-        async with Attempt(self._services, entry, call) as attempt:
+        async with Attempt(self._context, entry, call) as attempt:
             try:
                 async with asyncio.timeout(limit_ms / 1000):
-                    failed = await attempt.send(call.body, headers)
-                    if failed is not None:
-                        return failed
-                    return await _read_whole(attempt)
+                    failure = await attempt.send(call.body, headers)
+                    if failure is not None:
+                        return failure
+                    return await _read_answer(attempt)
             except TimeoutError:
                 return attempt.timed_out()
 
 
-async def _read_whole(attempt: Attempt) -> Whole | NotRun | Lost:
+async def _read_answer(attempt: Attempt) -> Whole | NotRun | Lost:
     head = await attempt.head()
     if isinstance(head, NotRun | Lost):
         return head
@@ -109,11 +118,11 @@
     return Whole(head.status, head.headers, body)
 
 
-def _is_sound(result: Whole | Lost) -> bool:
+def _is_success(result: Whole | Lost) -> bool:
     return isinstance(result, Whole) and result.status < 500
 
 
-def _final(outcome: Whole | NotRun | Lost, *, timed_out: bool) -> Whole | Refusal:
+def _final_answer(outcome: Whole | NotRun | Lost, *, timed_out: bool) -> Whole | Refusal:
     if isinstance(outcome, Whole):
         return outcome
     if isinstance(outcome, NotRun):
--- a/src/quincespool/gateway/callers/reply.py
+++ b/src/quincespool/gateway/callers/reply.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: to a caller's connection or to the daemon that relays for it."""
+"""Interface for sending an answer to a caller, directly or through the daemon that relays it."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Reply(Protocol):
-    """Takes one answer. After `end` or `refuse` nothing follows."""
+    """Sends one answer. Nothing may follow `end` or `refuse`."""
 
-    def head(self, status: int, headers: Headers) -> None:
-        """Starts an answer whose body follows in pieces."""
+    def start(self, status: int, headers: Headers) -> None:
+        """Sends status and headers of an answer whose body follows in chunks."""
 
-    def piece(self, data: bytes) -> None:
-        """Hands a piece of the body on."""
+    def send_chunk(self, data: bytes) -> None:
+        """Sends a chunk of the body."""
 
     def end(self) -> None:
-        """The answer is whole."""
+        """Ends a complete answer."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """The gateway's own final answer; after a head it breaks the answer off."""
+        """Sends a refusal of the gateway; after `start` it aborts the answer instead."""
--- a/src/quincespool/gateway/callers/front.py
+++ b/src/quincespool/gateway/callers/request_handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests: each becomes a call, gets a route, and an answer."""
+"""Handles requests of callers: parses, routes, admits and answers each call."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     from quincespool.gateway.accounts.limits import AccountLimits
     from quincespool.gateway.backends.attempt import Services
-    from quincespool.gateway.callers.plain import PlainCalls
+    from quincespool.gateway.callers.plain_calls import PlainCallHandler
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Decision
@@ -37,51 +37,52 @@
     from quincespool.net.requests import RequestError
 
 
-# How calls end otherwise: their caller has left, or this process ends first.
+# Outcomes without an answer of a backend server: the caller has disconnected, the call was cut off
+# when this process ended, or it was refused because this daemon is stopping.
 CALLER_GONE = "caller_gone"
 CUT_OFF = "cut_off"
 STOPPING = "stopping"
-# Another daemon takes the call at once.
+# Callers may retry soon, as another daemon accepts the call at once.
 STOPPING_RETRY_MS = 50
-_ENDS_FIRST = not_run(STOPPING, retry_after_ms=STOPPING_RETRY_MS)
+_STOPPING_REFUSAL = not_run(STOPPING, retry_after_ms=STOPPING_RETRY_MS)
 
 
-class Front:
-    """Answers callers."""
+class RequestHandler:
+    """Answers the requests of callers."""
 
     def __init__(
         self,
-        services: Services,
+        context: Services,
         *,
         routes: RouteTable,
         limits: AccountLimits,
-        plain: PlainCalls,
+        plain_calls: PlainCallHandler,
         relay: Relay,
         has_time_until: Callable[[int], bool],
     ) -> None:
-        self._services = services
+        self._context = context
         self._routes = routes
         self._limits = limits
-        self._plain = plain
+        self._plain = plain_calls
         self._relay = relay
         self._has_time_until = has_time_until
 
     async def handle(self, connection: Connection, request: HttpRequest) -> None:
         """Answers one request."""
         started_ms = now_ms()
-        read = self._services.wire.read_call(request)
-        if read.is_error():
-            connection.respond(self.refuse(request, read.error))
+        parsed = self._context.wire.read_call(request)
+        if parsed.is_error():
+            connection.respond(self.make_error_response(request, parsed.error))
             return
-        call = read.ok
-        reply = _ConnectionReply(connection, call, self._services)
+        call = parsed.ok
+        reply = _ConnectionReply(connection, call, self._context)
         decided = self._routes.decide(call)
         if decided.is_error():
             reply.refuse(decided.error)
-            self._note(call, None, reply, started_ms, served_by="")
+            self._record_call(call, None, reply, started_ms, served_by="")
             return
         decision = decided.ok
-        call = _of_account(call, decision)
+        call = _scope_to_account(call, decision)
         served_by = ""
         try:
             served_by = await self._serve(call, decision, reply, started_ms)
@@ -90,29 +91,29 @@
                 reply.refuse(may_have_run(CUT_OFF))
             raise
         except Exception as error:
-            self._services.log.write_always(
+            self._context.log.write_always(
                 "call failed", call_id=call.call_id, program_id=call.program_id, error=repr(error)
             )
             if not reply.outcome:
                 reply.refuse(may_have_run(FAILED))
             raise
         finally:
-            self._note(call, decision, reply, started_ms, served_by=served_by)
+            self._record_call(call, decision, reply, started_ms, served_by=served_by)
 
     async def _serve(
         self, call: Call, decision: Decision, reply: _ConnectionReply, started_ms: int
     ) -> str:
-        """Answers a call that the configuration allows; returns which daemon did, if it is a turn.
+        """Answers a routed call; returns the id of the daemon that served it, if it is a turn.
 
-        A turn is served by the owner of its program; what it may cost its account is decided here,
-        as for all calls.
+        A turn is served by the owner of its program. Whether its account's limit admits it is
+        checked here, as for all calls.
         """
-        if self._services.crashes.is_refused(fingerprint(call), now_ms()):
+        if self._context.crashes.is_refused(fingerprint(call), now_ms()):
             reply.refuse(not_run("crashes_backends"))
             return ""
         until_ms = started_ms + min(call.left_ms, decision.route.timeout_ms)
         if not self._has_time_until(until_ms):
-            reply.refuse(_ENDS_FIRST)
+            reply.refuse(_STOPPING_REFUSAL)
             return ""
         permit = await self._limits.admit(call, decision, until_ms=until_ms)
         if permit.refusal is not None:
@@ -121,32 +122,32 @@
         decision = decision._replace(is_pressed=permit.is_pressed)
         try:
             if not self._has_time_until(until_ms):
-                # The stop has begun while the call waited for its permit.
-                reply.refuse(_ENDS_FIRST)
+                # The daemon began to stop while the call waited for its permit.
+                reply.refuse(_STOPPING_REFUSAL)
                 return ""
             if decision.route.kind is CallKind.STREAMING:
                 return await self._relay.run(call, make_terms(decision), reply, until_ms=until_ms)
-            reply.whole(await self._plain.run(call, decision, until_ms=until_ms))
+            reply.send_answer(await self._plain.run(call, decision, until_ms=until_ms))
             return ""
         finally:
             if permit.is_counted and reply.verdict is Verdict.NOT_RUN:
                 self._limits.give_back(decision)
 
-    def refuse(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
-        """Returns the answer to a request that cannot be read."""
-        call_id = self._services.wire.read_call_id(request) if request is not None else ""
-        self._services.log.write(
+    def make_error_response(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
+        """Returns the answer to a request that cannot be parsed."""
+        call_id = self._context.wire.read_call_id(request) if request is not None else ""
+        self._context.log.write(
             "request unreadable", call_id=call_id, status=error.status, detail=error.message
         )
         refusal = not_run(error.message, status=error.status)
-        return _refusal_response(self._services, refusal, call_id)
+        return _refusal_response(self._context, refusal, call_id)
 
-    def failed(self, request: HttpRequest) -> HttpResponse:
-        """Returns the answer to a request whose handling has met a fault of this program."""
+    def make_fault_response(self, request: HttpRequest) -> HttpResponse:
+        """Returns the answer to a request whose handler raised an unexpected exception."""
         refusal = may_have_run(FAILED)
-        return _refusal_response(self._services, refusal, self._services.wire.read_call_id(request))
+        return _refusal_response(self._context, refusal, self._context.wire.read_call_id(request))
 
-    def _note(
+    def _record_call(
         self,
         call: Call,
         decision: Decision | None,
@@ -158,9 +159,9 @@
         took_ms = now_ms() - started_ms
         outcome = reply.outcome or CALLER_GONE
         route = decision.route.name if decision is not None else ""
-        self._services.metrics.count("gateway_calls_total", outcome=outcome)
-        self._services.metrics.observe("gateway_call_ms", took_ms)
-        self._services.log.write(
+        self._context.metrics.count("gateway_calls_total", outcome=outcome)
+        self._context.metrics.observe("gateway_call_ms", took_ms)
+        self._context.log.write(
             "call answered",
             call_id=call.call_id,
             program_id=call.program_id,
@@ -176,10 +177,10 @@
         )
 
 
-def _of_account(call: Call, decision: Decision) -> Call:
-    """Returns a call with its program as that of its account.
+def _scope_to_account(call: Call, decision: Decision) -> Call:
+    """Returns a call whose program id is scoped to its account.
 
-    A streamed call without a program is a program of its own.
+    A streamed call without a program becomes a program of its own.
     """
     turn = call.turn
     if turn is None and decision.route.kind is CallKind.STREAMING:
@@ -196,24 +197,24 @@
     """Writes an answer to a caller's connection.
 
     Attributes:
-      outcome: How it ended; empty if it has not.
-      status: Sent to the caller; 0 if nothing was.
-      verdict: Whether the call may have run, of an answer of the gateway's own; None without one.
+      outcome: How the call ended; empty until then.
+      status: HTTP status sent to the caller; 0 before that.
+      verdict: Whether the call may have run, if the gateway refused it; None otherwise.
     """
 
-    def __init__(self, connection: Connection, call: Call, services: Services) -> None:
+    def __init__(self, connection: Connection, call: Call, context: Services) -> None:
         self.outcome = ""
         self.status = 0
         self.verdict: Verdict | None = None
         self._connection = connection
         self._call = call
-        self._services = services
+        self._context = context
 
-    def head(self, status: int, headers: Headers) -> None:
+    def start(self, status: int, headers: Headers) -> None:
         self.status = status
         self._connection.start_stream(status, list(headers))
 
-    def piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         if data:
             self._connection.send_piece(data)
 
@@ -221,7 +222,7 @@
         self.outcome = "whole"
         self._connection.end_stream()
 
-    def whole(self, answer: Whole | Refusal) -> None:
+    def send_answer(self, answer: Whole | Refusal) -> None:
         if not isinstance(answer, Whole):
             self.refuse(answer)
             return
@@ -234,16 +235,16 @@
         self.outcome = refusal.reason
         self.verdict = refusal.verdict
         if self.status:
-            # The caller must not take what it has for a whole answer.
+            # The caller must not take what it has received for a complete answer.
             self._connection.abort()
             return
         self.status = refusal.status
-        self._connection.respond(_refusal_response(self._services, refusal, self._call.call_id))
+        self._connection.respond(_refusal_response(self._context, refusal, self._call.call_id))
 
 
-def _refusal_response(services: Services, refusal: Refusal, call_id: str) -> HttpResponse:
+def _refusal_response(context: Services, refusal: Refusal, call_id: str) -> HttpResponse:
     body = msgspec.json.encode(
         {"error": refusal.reason, "may_have_run": refusal.verdict is not Verdict.NOT_RUN}
     )
-    headers = services.wire.write_refusal_headers(refusal, call_id)
+    headers = context.wire.write_refusal_headers(refusal, call_id)
     return HttpResponse(refusal.status, list(headers), body)
--- a/src/quincespool/gateway/callers/routes.py
+++ b/src/quincespool/gateway/callers/routes.py
@@ -1,4 +1,4 @@
-"""Selects a call's route and service from the configuration in force."""
+"""Selects the route, service and account of a call from the current configuration."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Route
 
-# A daemon that has just started has read its configuration within some tens of milliseconds. While
-# the store is away a caller must not use its few tries up.
+# A daemon that has just started reads its configuration within some tens of milliseconds. While the
+# store is unreachable, callers should come back later, as they make only a few attempts.
 UNCONFIGURED_RETRY_MS = 100
 STORE_AWAY_RETRY_MS = 1_000
 
 
 class RouteTable:
-    """The newest configuration known; never goes back to an older version.
+    """Routes of the newest known configuration; never returns to an older version.
 
     Attributes:
-      configuration: In force; None before the first.
-      configured: Set when there is one.
+      configuration: Current configuration; None before the first one.
+      configured: Set when there is a configuration.
     """
 
-    def __init__(self, *, store_prompt: Callable[[], bool]) -> None:
+    def __init__(self, *, is_store_responsive: Callable[[], bool]) -> None:
         self.configuration: Configuration | None = None
         self.configured = asyncio.Event()
-        self._store_prompt = store_prompt
+        self._is_store_responsive = is_store_responsive
         self._by_host: dict[str, list[Route]] = {}
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """Version of the current configuration; 0 before the first one."""
         return self.configuration.version if self.configuration is not None else 0
 
     def adopt(self, configuration: Configuration) -> bool:
-        """Puts a configuration in force unless it is older than the present one."""
+        """Applies a configuration if it is newer than the current one; returns whether it was."""
         if configuration.version <= self.version:
             return False
         by_host: dict[str, list[Route]] = {}
@@ -65,20 +65,21 @@
         return True
 
     def account(self, name: str) -> Account | None:
-        """Returns an account of the configuration in force."""
+        """Returns an account of the current configuration; None if it has none of that name."""
         configuration = self.configuration
         if configuration is None or configuration.accounts is None:
             return None
         return configuration.accounts.by_name.get(name)
 
     def decide(self, call: Call) -> Result[Decision, Refusal]:
-        """Returns the route of the longest matching prefix, a service drawn by weight, the account.
+        """Returns the route with the longest matching prefix, a service and the account.
 
-        The error is the refusal of a call that no route or no key allows.
+        The service is drawn by weight. The error is the refusal of a call without a matching route
+        or with an unknown key.
         """
         configuration = self.configuration
         if configuration is None:
-            retry_ms = UNCONFIGURED_RETRY_MS if self._store_prompt() else STORE_AWAY_RETRY_MS
+            retry_ms = UNCONFIGURED_RETRY_MS if self._is_store_responsive() else STORE_AWAY_RETRY_MS
             return Error(not_run("no_configuration", retry_after_ms=retry_ms))
         for route in self._by_host.get(call.host, ()):
             if call.target.startswith(route.path_prefix):
@@ -99,7 +100,10 @@
 
 
 def _draw(configuration: Configuration, route: Route, call: Call) -> Service:
-    """Draws by a hash of the program, so that the turns of one program share an engine's cache."""
+    """Returns a service drawn by weight and by a hash of the program.
+
+    The turns of one program get the same service, so that they share an engine's cache.
+    """
     key = call.turn.program_id if call.turn is not None else call.call_id
     total = sum(share.weight for share in route.shares)
     digest = hashlib.blake2b(f"{route.name}|{key}".encode(), digest_size=8).digest()
--- a/src/quincespool/gateway/callers/side_ports.py
+++ b/src/quincespool/gateway/callers/side_ports.py
@@ -1,4 +1,4 @@
-"""The ports beside the callers' one: readiness, the directory of addresses, metrics and state."""
+"""Handler of the administrative ports: readiness, address directory, metrics and state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SidePorts:
-    """Answers everything that is no call."""
+    """Answers requests that are not calls to backend servers."""
 
     def __init__(
         self,
@@ -44,22 +44,22 @@
         """Answers one request."""
         connection.respond(self._answer(request))
 
-    def refuse(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
+    def make_error_response(self, request: HttpRequest | None, error: RequestError) -> HttpResponse:
         """Returns the answer to a request that cannot be read."""
         del request
         return HttpResponse(error.status, _JSON, msgspec.json.encode({"error": error.message}))
 
-    def failed(self, request: HttpRequest) -> HttpResponse:
-        """Returns the answer to a request whose handling has met a fault of this program."""
+    def make_fault_response(self, request: HttpRequest) -> HttpResponse:
+        """Returns the answer to a request whose handler raised an unexpected exception."""
         del request
         return HttpResponse(500, _JSON, msgspec.json.encode({"error": "internal error"}))
 
     def _answer(self, request: HttpRequest) -> HttpResponse:
         if self._wire.is_readiness_question(request):
             return HttpResponse(200 if self._is_ready() else 503, [], b"")
-        question = self._wire.read_address_question(request)
-        if question is not None:
-            addresses = self._addresses(question.zone)
+        query = self._wire.read_address_question(request)
+        if query is not None:
+            addresses = self._addresses(query.zone)
             if not addresses:
                 return HttpResponse(503, [], b"")
             body = self._wire.write_addresses(addresses, self._addresses_valid_ms())
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -15,9 +15,9 @@
 from quincespool.gateway.backends.reports import BackendReports
 from quincespool.gateway.backends.table import Backends
 from quincespool.gateway.callers.caller_limits import connection_limits
-from quincespool.gateway.callers.front import Front
 from quincespool.gateway.callers.http_port import HttpPort
-from quincespool.gateway.callers.plain import PlainCalls
+from quincespool.gateway.callers.plain_calls import PlainCallHandler
+from quincespool.gateway.callers.request_handler import RequestHandler
 from quincespool.gateway.callers.routes import RouteTable
 from quincespool.gateway.callers.side_ports import SidePorts
 from quincespool.gateway.clock import now_ms
@@ -105,7 +105,7 @@
 
     def _make_beliefs(self) -> None:
         settings = self._settings
-        self._routes = RouteTable(store_prompt=lambda: self._store_health.is_prompt)
+        self._routes = RouteTable(is_store_responsive=lambda: self._store_health.is_prompt)
         self._backends = Backends(zone=settings.zone, seed=self._incarnation)
         self._pool = ConnectionPool(
             on_open=lambda: self._metrics.count("gateway_backend_connections_total")
@@ -218,11 +218,11 @@
 
     def _make_ports(self) -> None:
         settings = self._settings
-        front = Front(
+        front = RequestHandler(
             self._services,
             routes=self._routes,
             limits=self._parts.limits,
-            plain=PlainCalls(self._services),
+            plain_calls=PlainCallHandler(self._services),
             relay=self._parts.relay,
             has_time_until=self._leaves_time_until,
         )
--- a/src/quincespool/gateway/planned_stop.py
+++ b/src/quincespool/gateway/planned_stop.py
@@ -53,7 +53,7 @@
     @property
     def under_way(self) -> int:
         """What callers, here and at other daemons, still wait for."""
-        return self._front_port.busy + self._relay.serving
+        return self._front_port.active_requests + self._relay.serving
 
     def leaves_time_until(self, until_ms: int) -> bool:
         """Whether a call with this time limit, by the steady clock, is answered before the end.
@@ -71,7 +71,7 @@
         self._last_ms = now_ms() + grace_ms - STOP_MARGIN_MS
         self._presence.draining = True
         self._front_port.draining = True
-        self._log.write_always("stopping", under_way=self._front_port.busy)
+        self._log.write_always("stopping", under_way=self._front_port.active_requests)
         self._presence.announce()
         return True
 
@@ -83,7 +83,7 @@
         await self._until_idle(kept_ms)
         self._front_port.stop()
         await self._until_idle(now_ms())
-        await self._front_port.cut_off()
+        await self._front_port.cancel_requests()
 
     async def _until_idle(self, not_before_ms: int) -> None:
         """Waits for a time, and until nothing is under way, but not beyond the end of the stop."""
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -81,10 +81,10 @@
         self._link = link
         self._relay_id = relay_id
 
-    def head(self, status: int, headers: Headers) -> None:
+    def start(self, status: int, headers: Headers) -> None:
         self._link.send(RelayHead(self._relay_id, status, write_headers(headers)))
 
-    def piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         self._link.send(RelayPiece(self._relay_id, data))
 
     def end(self) -> None:
@@ -275,9 +275,9 @@
         self, pending: _Pending, message: RelayHead | RelayPiece | RelayEnd | RelayRefused
     ) -> None:
         if isinstance(message, RelayHead):
-            pending.reply.head(message.status, read_headers(message.headers))
+            pending.reply.start(message.status, read_headers(message.headers))
         elif isinstance(message, RelayPiece):
-            pending.reply.piece(message.data)
+            pending.reply.send_chunk(message.data)
         elif isinstance(message, RelayEnd):
             pending.reply.end()
             pending.done.set_result(None)
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -225,7 +225,7 @@
                 events = self._events.event_count - seen
                 self._services.backends.streamed(attempt.entry, events, now_ms() - began_ms)
                 if self._progress.rest:
-                    self._reply.piece(self._progress.rest)
+                    self._reply.send_chunk(self._progress.rest)
                 break
             elif isinstance(event, Broken):
                 if self._events.partial:
@@ -238,7 +238,7 @@
         """Hands the head out, once for all runs: the first engine's stays."""
         if not self._has_head:
             self._has_head = True
-            self._reply.head(head.status, head.headers)
+            self._reply.start(head.status, head.headers)
 
     async def _relay_failure(self, attempt: Attempt, head: AnswerHead) -> Lost | None:
         body = await attempt.body()
@@ -248,8 +248,8 @@
         if self._has_head:
             # What the caller has got is no part of this answer.
             return Lost(f"status {head.status} behind a stream")
-        self._reply.head(head.status, head.headers)
-        self._reply.piece(body)
+        self._reply.start(head.status, head.headers)
+        self._reply.send_chunk(body)
         self._reply.end()
         return None
 
@@ -267,7 +267,7 @@
         else:
             completed = self._events.feed(data)
         await self._records.hand_out(completed)
-        self._reply.piece(data)
+        self._reply.send_chunk(data)
         return None
 
     async def _end_whole(self, entry: BackendEntry) -> None:
--- a/tests/gateway/callers/__init__.py
+++ b/tests/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's callers."""
+"""Tests of how the gateway handles callers."""
--- a/tests/gateway/callers/test_bad_input.py
+++ b/tests/gateway/callers/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers send that is no request, too large, ambiguous or too slow."""
+"""Tests of input that is malformed, too large, ambiguous or too slow."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("what", BAD_INPUT)
-async def test_bad_input_is_refused_and_not_passed_on(what: str) -> None:
+async def test_bad_input_is_rejected_and_not_forwarded(what: str) -> None:
     data, status = BAD_INPUT[what]
     async with GatewayCluster(1) as cluster:
         cluster.configure(2, limits=LIMITS)
@@ -66,11 +66,11 @@
         assert (await cluster.call("a", "idempotent")).status == 200
 
 
-async def test_a_slow_head_is_given_up_in_time_and_not_passed_on() -> None:
-    """Symptom: a daemon runs out of connections although it has few requests.
+async def test_a_slow_head_times_out_and_is_not_forwarded() -> None:
+    """Guards against a daemon running out of connections although it has few requests.
 
-    Events: callers send a byte of their head now and then. Cause: the limit for a head was the one
-    for idle connections, a hundred times as long.
+    Callers send a byte of their head now and then. The time limit for a head must not be that of
+    idle connections, which is a hundred times as long.
     """
     async with GatewayCluster(1) as cluster:
         cluster.configure(2, limits=LIMITS)
--- a/tests/gateway/callers/test_handler_faults.py
+++ b/tests/gateway/callers/test_handler_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the daemon's own in a handler: each is answered, and ends nothing else."""
+"""Tests of exceptions in the daemon's handlers: each is answered and affects no other call."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quincespool.gateway.callers.front import _ConnectionReply
+from quincespool.gateway.callers.request_handler import _ConnectionReply
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 
@@ -30,7 +30,7 @@
     return node.daemon._parts.relay
 
 
-async def test_a_fault_before_the_answer_is_answered_as_one_that_may_have_run(
+async def test_a_fault_before_the_answer_is_reported_as_a_call_that_may_have_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with GatewayCluster(1) as cluster:
@@ -40,7 +40,7 @@
     assert reply.json()["may_have_run"]
 
 
-async def test_a_fault_before_the_route_is_known_is_answered_too(
+async def test_a_fault_before_the_route_is_known_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def fail(*_: object) -> None:
@@ -52,7 +52,7 @@
     assert reply.status == 502
 
 
-async def test_an_answer_that_a_fault_breaks_off_does_not_look_whole(
+async def test_an_answer_that_a_fault_interrupts_does_not_look_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def fail(*_: object) -> None:
@@ -64,10 +64,10 @@
             await cluster.turn("a", "p")
 
 
-async def test_a_fault_at_the_owner_is_answered_at_once_at_the_daemon_that_relays(
+async def test_a_fault_at_the_owner_is_answered_at_once_by_the_relaying_daemon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The daemon that relays waited until the turn's time limit, and answered 504."""
+    """Otherwise the relaying daemon waits until the turn's time limit and answers 504."""
     async with GatewayCluster(2) as cluster:
         owner, other = _owner_and_other(cluster, "p")
         monkeypatch.setattr(_relay(cluster.nodes[owner])._turns, "run", _fail)
@@ -76,21 +76,21 @@
     assert reply.json()["may_have_run"]
 
 
-async def test_a_fault_with_one_turn_leaves_the_others_on_its_link_alone(
+async def test_a_fault_in_one_turn_does_not_affect_others_on_its_link(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One message that could not be handled closed the link with every turn that was on it."""
-    piece = _ConnectionReply.piece
+    """A message whose handler fails must not close the link, which ends every turn on it."""
+    send_chunk = _ConnectionReply.send_chunk
 
     def fail_once(reply: _ConnectionReply, data: bytes) -> None:
         if reply._call.call_id == "t1":
             raise KeyError("x")
-        piece(reply, data)
+        send_chunk(reply, data)
 
     async with GatewayCluster(2) as cluster:
         for engine in cluster.engines.values():
             engine.knobs.gap_ms = 100
-        monkeypatch.setattr(_ConnectionReply, "piece", fail_once)
+        monkeypatch.setattr(_ConnectionReply, "send_chunk", fail_once)
         _, other = _owner_and_other(cluster, "p")
         sound = asyncio.create_task(cluster.turn(other, "p", call_id="t2"))
         with pytest.raises(ConnectionLostError):
@@ -99,8 +99,8 @@
         await cluster.until(lambda: not any(one.under_way for one in cluster.engines.values()))
 
 
-async def test_a_fault_with_a_message_ends_no_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A question that could not be read closed the link with every turn that was on it."""
+async def test_a_fault_in_a_message_handler_closes_no_link(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request whose handler fails must not close the link, which ends every turn on it."""
     async with GatewayCluster(2) as cluster:
         for engine in cluster.engines.values():
             engine.knobs.gap_ms = 200
--- a/tests/gateway/callers/test_plain_calls.py
+++ b/tests/gateway/callers/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Plain calls: sent once or, if idempotent, again."""
+"""Tests of plain calls, which are sent again only if idempotent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         assert reply.headers["server-stamp"] == "s1"
 
 
-async def test_a_refused_call_is_truthfully_not_run() -> None:
+async def test_a_call_answered_as_refused_has_not_run() -> None:
     async with GatewayCluster(1) as cluster:
         cluster.engines["s1"].knobs.full = True
         reply = await cluster.call("a", "non_idempotent")
@@ -25,7 +25,7 @@
         assert cluster.engines["s1"].runs == []
 
 
-async def test_an_answer_without_receipt_is_no_success() -> None:
+async def test_an_answer_without_a_server_stamp_is_no_success() -> None:
     async with GatewayCluster(1) as cluster:
         cluster.engines["s1"].knobs.without_receipt = True
         reply = await cluster.call("a", "non_idempotent")
@@ -34,7 +34,7 @@
         assert len(cluster.engines["s1"].runs) == 1
 
 
-async def test_a_leaving_backend_server_gets_nothing_new() -> None:
+async def test_a_draining_backend_server_gets_no_new_calls() -> None:
     async with GatewayCluster(1) as cluster:
         cluster.announce("s1", "plain", state="draining")
         await asyncio.sleep(0.3)
@@ -44,7 +44,9 @@
         assert cluster.engines["s1"].runs == []
 
 
-async def test_a_configuration_is_in_force_at_every_daemon_and_stays() -> None:
+async def test_a_configuration_is_applied_by_every_daemon_and_not_replaced_by_an_older_one() -> (
+    None
+):
     async with GatewayCluster() as cluster:
         cluster.configure(5, path_prefix="/other/")
         await cluster.until(
--- a/tests/gateway/callers/test_routes.py
+++ b/tests/gateway/callers/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route and service a call gets."""
+"""Tests of the selection of route, service and account."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     return _call(target)._replace(key_digest=digest_key(key) if key else "")
 
 
-def test_a_key_tells_the_account() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+def test_a_key_selects_the_account() -> None:
+    table = RouteTable(is_store_responsive=lambda: True)
     route = _route("/a/", Share("s", 1))
     table.adopt(_with_accounts(1, {"k1": "ranked", "k2": "plain"}, route))
 
@@ -55,8 +55,8 @@
     assert table.decide(_call_with("k3", "/b/")).error.status == 404
 
 
-def test_a_public_route_needs_no_key_and_tells_no_account() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+def test_a_public_route_needs_no_key_and_selects_no_account() -> None:
+    table = RouteTable(is_store_responsive=lambda: True)
     public = _route("/a/", Share("s", 1))._replace(is_public=True)
     table.adopt(_with_accounts(1, {"k1": "ranked"}, public))
 
@@ -64,8 +64,8 @@
         assert table.decide(_call_with(key)).ok.account == ""
 
 
-def test_a_key_that_is_taken_away_is_refused_from_then_on() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+def test_a_removed_key_is_refused() -> None:
+    table = RouteTable(is_store_responsive=lambda: True)
     route = _route("/a/", Share("s", 1))
     table.adopt(_with_accounts(2, {"k2": "plain"}, route))
     assert not table.adopt(_with_accounts(1, {"k1": "ranked", "k2": "plain"}, route))
@@ -75,7 +75,7 @@
 
 
 def test_the_longest_prefix_wins() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+    table = RouteTable(is_store_responsive=lambda: True)
     table.adopt(_configuration(1, _route("/a/", Share("s", 1)), _route("/a/b/", Share("t", 1))))
 
     assert table.decide(_call("/a/x")).ok.service.name == "s"
@@ -84,30 +84,29 @@
     assert table.decide(_call("/a/x", host="other")).error.status == 404
 
 
-def test_without_a_configuration_nothing_is_denied() -> None:
-    """Symptom: proper requests get 404 right after a start.
+def test_without_a_configuration_calls_get_503_instead_of_404() -> None:
+    """Guards against valid requests getting 404 right after a start.
 
-    Events: a daemon starts while the store is away.
-    Cause: it knows no routes yet, which says nothing of what is allowed.
+    A daemon that starts while the store is unreachable knows no routes yet, so it can't tell which
+    requests are allowed.
     """
-    refusal = RouteTable(store_prompt=lambda: True).decide(_call("/a/")).error
+    refusal = RouteTable(is_store_responsive=lambda: True).decide(_call("/a/")).error
     assert refusal.status == 503
     assert refusal.retry_after_ms == UNCONFIGURED_RETRY_MS
 
 
-def test_callers_keep_their_tries_while_no_configuration_can_be_read() -> None:
-    """Symptom: programs fail in an outage that began before their daemon was restarted.
+def test_callers_retry_later_while_no_configuration_can_be_read() -> None:
+    """Guards against programs failing in an outage of the store during which daemons restart.
 
-    Events: all daemons are restarted while the store is away; callers come, are refused, and come
-    back at once until their tries are used up.
-    Cause: the configuration was expected within a moment.
+    All daemons are restarted while the store is unreachable. Callers are refused, and must not be
+    told to retry at once, or they use up their attempts before a configuration can be read.
     """
-    refusal = RouteTable(store_prompt=lambda: False).decide(_call("/a/")).error
+    refusal = RouteTable(is_store_responsive=lambda: False).decide(_call("/a/")).error
     assert refusal.retry_after_ms == STORE_AWAY_RETRY_MS
 
 
-def test_a_configuration_never_goes_back() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+def test_an_older_configuration_is_not_applied() -> None:
+    table = RouteTable(is_store_responsive=lambda: True)
     assert table.adopt(_configuration(7, _route("/new/", Share("s", 1))))
     assert not table.adopt(_configuration(5, _route("/old/", Share("s", 1))))
     assert not table.adopt(_configuration(7, _route("/old/", Share("s", 1))))
@@ -117,7 +116,7 @@
 
 
 def test_shares_are_drawn_by_weight() -> None:
-    table = RouteTable(store_prompt=lambda: True)
+    table = RouteTable(is_store_responsive=lambda: True)
     table.adopt(_configuration(1, _route("/a/", Share("s", 90), Share("t", 10))))
     drawn = [table.decide(_call("/a/", f"c{n}")).ok.service.name for n in range(2_000)]
 
--- a/tests/gateway/callers/test_unanswered.py
+++ b/tests/gateway/callers/test_unanswered.py
@@ -1,4 +1,4 @@
-"""What the log says of calls that end without an answer, so that their causes can be told apart."""
+"""Tests of calls during a stop or after a fault: their answers and logged outcomes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return [line for line in lines if line.get("message") == message]
 
 
-async def test_a_call_that_ends_with_the_process_is_not_logged_as_left_by_its_caller(
+async def test_a_call_cut_off_by_a_stop_is_not_logged_as_left_by_its_caller(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
@@ -35,12 +35,12 @@
             engine.knobs.gap_ms = 1_000
         calling = asyncio.create_task(cluster.call("a", "idempotent"))
         await cluster.until(cluster.all_runs)
-        await cluster.nodes["a"].daemon._front_port.cut_off()
+        await cluster.nodes["a"].daemon._front_port.cancel_requests()
         assert (await calling).status == 502
     assert [line["outcome"] for line in _lines(caplog, "call answered")] == ["cut_off"]
 
 
-async def test_a_request_behind_another_one_is_answered_by_a_daemon_that_stops() -> None:
+async def test_a_stopping_daemon_answers_a_request_queued_behind_another_one() -> None:
     request = f"POST /idempotent/x HTTP/1.1\r\nhost: {HOST_NAME}\r\ndeadline-ms: 1000\r\n"
     both = "".join(f"{request}request-id: r{n}\r\ncontent-length: 0\r\n\r\n" for n in (1, 2))
     async with GatewayCluster(1) as cluster:
@@ -67,7 +67,7 @@
         await cluster.until(cluster.all_runs)
         cluster.nodes["a"].daemon.begin_stop()
         (connection,) = cluster.nodes["a"].daemon._front_port._connections
-        # What is sent from here on waits in the socket while the answer is written.
+        # Data sent from here on stays in the socket while the answer is written.
         connection._transport.pause_reading()
         writer.write(second.encode())
         answers = await asyncio.wait_for(reader.read(), 5)
@@ -75,7 +75,7 @@
     assert answers.startswith(b"HTTP/1.1 200 ")
 
 
-async def test_a_call_that_waited_for_its_permit_into_a_stop_is_refused(
+async def test_a_call_whose_permit_arrives_after_a_stop_began_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with GatewayCluster(1) as cluster:
@@ -93,7 +93,7 @@
         assert cluster.all_runs() == []
 
 
-async def test_an_answer_that_is_whole_is_not_broken_off_by_the_end_of_the_process(
+async def test_a_complete_answer_is_not_aborted_by_the_end_of_the_process(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caplog.set_level("INFO")
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -36,7 +36,7 @@
         self._busy = 0
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         if not self.events:
             self.events.append("looked")
             asyncio.get_running_loop().call_soon(self._read)
@@ -45,7 +45,7 @@
     def stop(self) -> None:
         self.events.append("closed")
 
-    async def cut_off(self) -> None:
+    async def cancel_requests(self) -> None:
         self.events.append("cut off" if self._busy else "ended")
 
     def _read(self) -> None:
