--- a/src/quincespool/platform/__init__.py
+++ b/src/quincespool/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the platform's interfaces and the gateway's types; decides nothing."""
+"""Translates between the platform's interfaces and the gateway's types, without any decisions."""
--- a/src/quincespool/platform/wire.py
+++ b/src/quincespool/platform/codec.py
@@ -1,4 +1,4 @@
-"""The platform's encoding as one module; satisfies `quincespool.gateway.wire.Wire`."""
+"""Encoding and decoding for the platform; implements the gateway's protocol `PlatformCodec`."""
 
 from __future__ import annotations
 
--- a/src/quincespool/platform/entries.py
+++ b/src/quincespool/platform/entries.py
@@ -1,4 +1,4 @@
-"""What operators and backend servers write into the store: decodes their records."""
+"""Decodes the records of operators, backend servers and daemons in the store."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 BACKENDS_TOPIC = "keyed.servers"
 DAEMONS_TOPIC = "keyed.status"
 
-# Callers leave a stream after the longest of these: a time of its own, so many times the route's
-# objective for the first event, so many times its longest pause between events.
-LEAST_PATIENCE_MS = 2_000
-PATIENCE_OBJECTIVES = 4
-PATIENCE_PAUSES = 8
+# Callers leave a stream after the longest of three times without an event: this fixed time, this
+# multiple of the route's target latency of the first event, and this multiple of its target pause
+# between events.
+EVENT_GAP_FLOOR_MS = 2_000
+EVENT_GAP_LATENCY_FACTOR = 4
+EVENT_GAP_PAUSE_FACTOR = 8
 
 
 class _Weighted(msgspec.Struct):
@@ -48,18 +49,18 @@
     service: str = ""
     weighted_backends: list[_Weighted] = []
     max_attempts: int = 1
-    # Turns carry only their new input; the chain that they name is to be put before it.
+    # Turns carry only their new input; the gateway prepends the turns that they continue.
     retain_context: bool = False
     retention_s: float = 0
-    # Longest pause between events with which a stream is in time.
+    # Longest pause between events for a stream to meet its target.
     target_gap_ms: float = 0
     public: bool = False
-    # A stream may go on behind its last event, at any engine.
+    # A broken-off stream may be resumed after its last event, at any engine.
     resumable: bool = False
 
 
 class _Engine(msgspec.Struct):
-    # Tokens that one event stands for, not a distance.
+    # Number of tokens in one event.
     stream_stride: int = 1
 
 
@@ -76,11 +77,11 @@
 
 
 class _Tenant(msgspec.Struct):
-    # It becomes a header of calls, and part of the ids of programs.
+    # Sent as a header of calls, and part of program ids, hence no spaces.
     name: Annotated[str, msgspec.Meta(pattern="^[!-~]{1,128}$")]
     api_keys: list[str] = []
     priority: int | None = None
-    # 0 means that there is no limit.
+    # 0 means unlimited.
     rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0
     burst: Annotated[float, msgspec.Meta(ge=0)] = 0
 
@@ -89,7 +90,7 @@
     version: int
     routes: list[_Route]
     services: list[_Service]
-    # Requests carry keys only if there are any.
+    # Requests carry API keys only if this is present.
     tenants: list[_Tenant] | None = None
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
@@ -98,19 +99,19 @@
 
 
 class _Server(msgspec.Struct):
-    # All fields but the last stand in every entry that a backend server writes of itself; one that
-    # lacks any of them, or has it in another form, is somebody else's.
+    # Every entry that a backend server writes of itself has all fields but the last. An entry that
+    # lacks one, or has it in another form, is not from a backend server and is rejected.
     service: str
     address: str
     zone: str
-    # Of its software.
+    # Version of its software.
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-    # Orders that it has accepted, counted from its start.
+    # Number of orders that it has accepted since its start.
     sequence: _Count
-    # Start of its process in milliseconds; only where it may start again under the same id.
+    # Start time of its process in ms; only where it may restart under the same id.
     born: _Count | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -118,7 +119,7 @@
     """Returns the configuration in a record.
 
     Raises:
-      msgspec.DecodeError: if it holds none, or gives one key to two accounts.
+      msgspec.DecodeError: if it is not a valid configuration, or two accounts have the same key.
     """
     config = msgspec.json.decode(value, type=_Config)
     return Configuration(
@@ -139,7 +140,7 @@
     """Returns the entry of a backend server.
 
     Raises:
-      msgspec.DecodeError: if the record holds none.
+      msgspec.DecodeError: if the record is not a valid entry.
     """
     server = _SERVER_DECODER.decode(value)
     _check_address(server.address)
@@ -159,7 +160,7 @@
     """Returns the entry of a daemon.
 
     Raises:
-      msgspec.DecodeError: if the record holds none.
+      msgspec.DecodeError: if the record is not a valid entry.
     """
     daemon = msgspec.json.decode(value, type=Daemon)
     _check_address(daemon.caller_address)
@@ -168,7 +169,7 @@
 
 
 def write_daemon(daemon: Daemon) -> bytes:
-    """Returns the record of a daemon's entry."""
+    """Encodes the entry of a daemon as a record."""
     return msgspec.json.encode(daemon)
 
 
@@ -190,7 +191,7 @@
         kind=CallKind(route.kind),
         shares=shares or (Share(route.service, 1),),
         timeout_ms=int(route.timeout_ms),
-        patience_ms=_patience_ms(route),
+        patience_ms=_max_event_gap_ms(route),
         rank=route.priority,
         max_attempts=max(1, route.max_attempts),
         keeps_history=route.retain_context,
@@ -212,15 +213,15 @@
         )
         for key in tenant.api_keys:
             if by_key.setdefault(digest_key(key), tenant.name) != tenant.name:
-                raise msgspec.ValidationError("a key of two accounts")
+                raise msgspec.ValidationError("two accounts have the same key")
     return Accounts(by_name, by_key)
 
 
-def _patience_ms(route: _Route) -> int:
+def _max_event_gap_ms(route: _Route) -> int:
     longest_ms = max(
-        LEAST_PATIENCE_MS,
-        PATIENCE_OBJECTIVES * route.target_latency_ms,
-        PATIENCE_PAUSES * route.target_gap_ms,
+        EVENT_GAP_FLOOR_MS,
+        EVENT_GAP_LATENCY_FACTOR * route.target_latency_ms,
+        EVENT_GAP_PAUSE_FACTOR * route.target_gap_ms,
     )
     return int(longest_ms)
 
--- a/src/quincespool/platform/requests.py
+++ b/src/quincespool/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests and backend servers' answers: headers of the platform to types and back."""
+"""Translates the platform's requests and answers to the gateway's types and back."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     from quincespool.gateway.model import Headers
     from quincespool.net.requests import HttpRequest
 
-# Concern one connection only, or are set by the gateway for each attempt.
+# Headers that concern one connection only or that the gateway sets for each attempt.
 _NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -56,8 +56,8 @@
 _NOT_RETURNED = frozenset(
     {"connection", "content-length", "keep-alive", "proxy-connection", "transfer-encoding"}
 )
-# Of two such lines the backend server might heed the one that was not read here.
-_READ_ONCE = (
+# Must not be repeated: the backend server might use another value than the one read here.
+_IDENTIFYING_HEADERS = (
     "credential",
     "deadline-ms",
     "host",
@@ -67,20 +67,20 @@
     "tenant-id",
     "token-budget",
 )
-_LAST_EVENT = "last-event-id"
+_LAST_EVENT_HEADER = "last-event-id"
 _ID = re.compile(r"[!-~]{1,128}")
 _NUMBER = re.compile(r"[0-9]{1,12}")
 _MAX_LEFT_MS = 600_000
 
 
 def read_call(request: HttpRequest) -> Result[Call, RequestError]:
-    """Returns the call in a caller's request."""
+    """Parses the call in a caller's request; the error is answered with its status."""
     headers = dict(request.headers)
-    if len(headers) != len(request.headers) and _repeats_own(request.headers):
+    if len(headers) != len(request.headers) and _repeats_identifying_header(request.headers):
         return Error(RequestError(400, "a header that identifies the call is repeated"))
     if "transfer-encoding" in headers and "content-length" in headers:
-        # Two parsers may disagree on where such a request ends; the rest would be taken for a
-        # request of its own that nobody sent.
+        # Request smuggling: two parsers may disagree on where such a request ends, and take the
+        # rest for another request that no caller sent.
         return Error(RequestError(400, "both a length and chunks"))
     call_id = headers.get("request-id", "")
     if not _ID.fullmatch(call_id):
@@ -106,18 +106,18 @@
             turn=turn.ok,
             program_id=program_id,
             key_digest=digest_key(headers["credential"]) if "credential" in headers else "",
-            resumes_after=_read_event_number(headers.get(_LAST_EVENT, "")),
+            resumes_after=_read_event_number(headers.get(_LAST_EVENT_HEADER, "")),
         )
     )
 
 
 def read_call_id(request: HttpRequest) -> str:
-    """Returns the call id of a request, empty if it has none."""
+    """Returns the call id of a request; empty if it has none."""
     return dict(request.headers).get("request-id", "")
 
 
 def read_address_question(request: HttpRequest) -> AddressQuestion | None:
-    """Returns what a caller asks of the directory, None if it is something else."""
+    """Parses a query for daemon addresses; None if the request is another one."""
     parts = urlsplit(request.target)
     if request.method != "GET" or parts.path != "/resolve":
         return None
@@ -125,12 +125,12 @@
 
 
 def write_addresses(addresses: list[str], valid_ms: int) -> bytes:
-    """Returns the body of the directory's answer."""
+    """Returns the body of the answer to a query for daemon addresses."""
     return msgspec.json.encode({"addresses": addresses, "ttl_s": valid_ms / 1000})
 
 
 def is_readiness_question(request: HttpRequest) -> bool:
-    """Whether the platform asks if the daemon is ready."""
+    """Whether a request is a readiness check of the platform."""
     return request.method == "GET" and request.target.partition("?")[0] == "/ready"
 
 
@@ -143,11 +143,20 @@
     priority: int | None,
     after_event: int | None = None,
 ) -> Headers:
-    """Returns the headers of one attempt at a backend server."""
+    """Returns the headers of one attempt at a backend server.
+
+    Args:
+      call: The call.
+      account: Name of the client account; empty if there is none.
+      backend_id: Backend server that may run it; another one at the same address refuses it.
+      left_ms: Time until the deadline.
+      priority: Sent if not None.
+      after_event: Number of the event after which a stream is resumed; None leaves the caller's.
+    """
     forwarded: Iterable[tuple[str, str]] = call.headers
     if after_event is not None:
-        forwarded = [pair for pair in call.headers if pair[0] != _LAST_EVENT]
-        forwarded.append((_LAST_EVENT, str(after_event)))
+        forwarded = [pair for pair in call.headers if pair[0] != _LAST_EVENT_HEADER]
+        forwarded.append((_LAST_EVENT_HEADER, str(after_event)))
     headers = [*forwarded, ("deadline-ms", str(left_ms)), ("expect-instance", backend_id)]
     if account:
         headers.append(("tenant-id", account))
@@ -157,13 +166,13 @@
 
 
 def read_answer_head(status: int, pairs: Headers) -> AnswerHead:
-    """Returns what the head of a backend server's answer says."""
+    """Parses status and headers of a backend server's answer."""
     headers = dict(pairs)
     return AnswerHead(
         status=status,
         call_id=headers.get("request-id", ""),
         stamped="server-stamp" in headers and "content-encoding" not in headers,
-        # 421 comes from another backend server that has the address now.
+        # Another backend server that now has the address answers 421.
         not_run="not-executed" in headers or status == 421,
         headers=tuple(pair for pair in pairs if pair[0] not in _NOT_RETURNED),
         idle_s=_read_idle_s(headers.get("keep-alive", "")),
@@ -171,17 +180,17 @@
 
 
 def write_refusal_headers(refusal: Refusal, call_id: str) -> Headers:
-    """Returns the headers of an answer of the gateway's own."""
+    """Returns the headers of a refusal."""
     headers = [("request-id", call_id)] if call_id else []
     headers.append(("content-type", "application/json"))
     if refusal.retry_after_ms:
-        # In seconds on the wire, with fractions.
+        # The platform's unit is seconds, with fractions.
         headers.append(("retry-after", f"{refusal.retry_after_ms / 1000:.3f}"))
     return tuple(headers)
 
 
 def _read_turn(headers: dict[str, str]) -> Result[Turn | None, RequestError]:
-    # "Token-Usage" holds the prompt's tokens and the most that may be generated, not what was used.
+    # Token-Usage holds two numbers: tokens of the prompt and the maximum to generate.
     usage = headers.get("token-usage")
     program_id = headers.get("program-id")
     if usage is None or program_id is None:
@@ -207,9 +216,9 @@
     return int(text) if _NUMBER.fullmatch(text) else None
 
 
-def _repeats_own(pairs: Headers) -> bool:
+def _repeats_identifying_header(pairs: Headers) -> bool:
     names = [name for name, _ in pairs]
-    return any(names.count(name) > 1 for name in _READ_ONCE)
+    return any(names.count(name) > 1 for name in _IDENTIFYING_HEADERS)
 
 
 def _read_idle_s(text: str) -> float | None:
--- a/src/quincespool/platform/serve.py
+++ b/src/quincespool/platform/serve.py
@@ -1,4 +1,4 @@
-"""Runs a gateway daemon with the platform's store and encoding."""
+"""Runs a gateway daemon with the platform's store and codec."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quincespool.gateway.daemon import GatewayDaemon
 from quincespool.gateway.decision_log import DecisionLog
 from quincespool.gateway.decision_log import configure_decision_log
-from quincespool.platform import wire
+from quincespool.platform import codec
 from quincespool.platform.store import PlatformStore
 
 if TYPE_CHECKING:
@@ -18,7 +18,12 @@
 
 
 async def serve(settings: GatewaySettings, *, load_settings: Callable[[], GatewaySettings]) -> None:
-    """Serves until the planned stop is complete; `load_settings` reads them again."""
+    """Runs the daemon until its graceful shutdown is complete.
+
+    Args:
+      settings: Settings at the start.
+      load_settings: Reads the settings again when they are to be reloaded.
+    """
     configure_decision_log(settings.log_level, settings.member_id, settings.zone)
 
     def make_store(on_call: Callable[[str, str], None]) -> PlatformStore:
@@ -32,6 +37,6 @@
 
     log = DecisionLog(asyncio.get_running_loop().time)
     daemon = GatewayDaemon(
-        settings, load_settings=load_settings, make_store=make_store, wire=wire, log=log
+        settings, load_settings=load_settings, make_store=make_store, wire=codec, log=log
     )
     await daemon.run()
--- a/src/quincespool/platform/store.py
+++ b/src/quincespool/platform/store.py
@@ -1,6 +1,7 @@
-"""The gateway's store on the platform's log, over HTTP.
+"""Client of the platform's log over HTTP, as the gateway's store.
 
-Every call maps to one request. Nothing is repeated here: the gateway knows what may be.
+Each method sends one request, or one for each page. Nothing is retried here, as the gateway knows
+which requests may be repeated.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
 _PRODUCER = "owner"
 _LENGTH_BYTES = 4
 _OFFSET_BYTES = 8
-# Beyond the wait of a long read, for the way there and back.
-_WAY_MS = 700
-# While all daemons read their partitions after a restart, 44 pages are on their way at ten hosts;
-# at 80 MB/s, which they share, these are there within 150 ms, well before the time limit.
+# Added to the time limit of a long-polling read, for the round trip.
+_ROUND_TRIP_MS = 700
+# While all daemons of ten hosts read their partitions after a restart, 44 pages are in flight. At
+# the 80 MB/s that they share, these arrive within 150 ms, well before the time limit.
 _MAX_PAGE_KB = 256
 
 
@@ -48,13 +49,13 @@
 
 
 class _Conflict(msgspec.Struct):
-    # `seq` where the sequence number is wrong, `fenced` where the epoch is.
+    # `seq` if the sequence number is wrong, `fenced` if the epoch is too low.
     why: str = ""
     expected: int = 0
     sequence: int = 0
 
 
-class _Gone(msgspec.Struct):
+class _Expired(msgspec.Struct):
     first: int = 0
 
 
@@ -82,7 +83,7 @@
 
 
 class PlatformStore:
-    """A client of the store; tells `on_call` the path and the outcome of each request."""
+    """Client of the store; calls `on_call` with path and outcome of each request."""
 
     def __init__(
         self,
@@ -111,7 +112,7 @@
             "epoch": epoch,
             "sequence": sequence,
         }
-        body = b"".join(_framed(record) for record in records)
+        body = b"".join(_frame(record) for record in records)
         answer = await self._post("/log-append", query, body)
         return _decode(answer, _Appended).end
 
@@ -119,7 +120,7 @@
         """See `Store.append_keyed`."""
         name = key.encode()
         record = len(name).to_bytes(1, "big") + name + (value or b"")
-        await self._post("/log-append", {"topic": topic, "part": 0}, _framed(record))
+        await self._post("/log-append", {"topic": topic, "part": 0}, _frame(record))
 
     async def read(self, partition: Partition, from_offset: int) -> Page:
         """See `Store.read`."""
@@ -134,7 +135,8 @@
         """See `Store.read_keyed`."""
         page = await self._read(Partition(topic, 0), from_offset, wait_ms=wait_ms)
         records = [
-            _keyed(record, from_offset + position) for position, record in enumerate(page.records)
+            _decode_keyed(record, from_offset + position)
+            for position, record in enumerate(page.records)
         ]
         return KeyedPage(from_offset + len(records), records)
 
@@ -146,10 +148,10 @@
         while True:
             answer = await self._request("GET", "/log-newest", query, b"", self._time_limit_ms)
             page = _decode(answer, _Newest)
-            # Pages are taken one after the other; what changed between them lies beyond the end
-            # that the first one names.
+            # Pages are read one after the other. What changes meanwhile has offsets at or after
+            # the end that the first page names, so callers read on from there.
             end_offset = page.end if end_offset is None else end_offset
-            records += [_listed(item) for item in page.items]
+            records += [_decode_item(item) for item in page.items]
             if not page.more or not page.items:
                 return KeyedPage(end_offset, records)
             query["after"] = page.items[-1].key
@@ -189,10 +191,10 @@
             "max_kb": _MAX_PAGE_KB,
             "wait_ms": wait_ms,
         }
-        limit_ms = wait_ms + _WAY_MS if wait_ms else self._time_limit_ms
+        limit_ms = wait_ms + _ROUND_TRIP_MS if wait_ms else self._time_limit_ms
         answer = await self._request("GET", "/log-read", query, b"", limit_ms)
         end_offset = int.from_bytes(answer.body[:_OFFSET_BYTES], "big")
-        return Page(end_offset, _unframed(answer.body[2 * _OFFSET_BYTES :]))
+        return Page(end_offset, _split_frames(answer.body[2 * _OFFSET_BYTES :]))
 
     async def _post(self, path: str, query: dict[str, object], body: bytes) -> ChannelAnswer:
         return await self._request("POST", path, query, body, self._time_limit_ms)
@@ -201,7 +203,7 @@
         self, method: str, path: str, query: dict[str, object], body: bytes, limit_ms: int
     ) -> ChannelAnswer:
         if "topic" in query and not str(query["topic"]).startswith("keyed."):
-            # A topic is created by the first request for it, with the number of partitions named.
+            # The first request for a topic creates it with this number of partitions.
             query = {**query, "parts": self._partition_count}
         target = f"{path}?{urlencode(query)}" if query else path
         channel = self._idle.pop() if self._idle else Channel(self._address)
@@ -218,9 +220,9 @@
 
 
 def _error(answer: ChannelAnswer) -> StoreError:
-    """Decodes a refusal: 409 is a writer's conflict, 410 names the first record that is kept.
+    """Decodes a refusal: 409 is a conflict of writers, 410 names the first retained record.
 
-    Whatever its body is, it is a refusal of the store, which its callers know how to meet.
+    A refusal with an unreadable body also becomes a `StoreError`, which callers handle.
     """
     if answer.status == 409:
         conflict = _decode_refusal(answer, _Conflict())
@@ -229,33 +231,33 @@
         if conflict.why == "seq":
             return SequenceError(conflict.expected or conflict.sequence)
     if answer.status == 410:
-        return ExpiredError(_decode_refusal(answer, _Gone()).first)
+        return ExpiredError(_decode_refusal(answer, _Expired()).first)
     if answer.status == 507:
         return FullError()
     detail = answer.body[:200].decode("utf-8", "replace")
     return StoreError(f"status {answer.status}: {detail}", refused=True)
 
 
-def _decode_refusal(answer: ChannelAnswer, unreadable: T) -> T:
+def _decode_refusal(answer: ChannelAnswer, default: T) -> T:
     try:
-        return msgspec.json.decode(answer.body, type=type(unreadable))
+        return msgspec.json.decode(answer.body, type=type(default))
     except msgspec.MsgspecError:
-        return unreadable
+        return default
 
 
-def _decode(answer: ChannelAnswer, kind: type[T]) -> T:
-    """Decodes a body; one that can't be read may have been done all the same."""
+def _decode(answer: ChannelAnswer, body_type: type[T]) -> T:
+    """Decodes a body; if it is unreadable, the request may have been done all the same."""
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(answer.body, type=body_type)
     except msgspec.MsgspecError as error:
         raise StoreError(f"unreadable answer: {error}", refused=False) from error
 
 
-def _framed(record: bytes) -> bytes:
+def _frame(record: bytes) -> bytes:
     return len(record).to_bytes(_LENGTH_BYTES, "big") + record
 
 
-def _unframed(data: bytes) -> list[bytes]:
+def _split_frames(data: bytes) -> list[bytes]:
     records = []
     position = 0
     while position + _LENGTH_BYTES <= len(data):
@@ -265,20 +267,20 @@
     return records
 
 
-def _keyed(record: bytes, offset: int) -> KeyedRecord:
-    """Decodes a record of a keyed topic: a byte of length, the key, the value if there is one.
+def _decode_keyed(record: bytes, offset: int) -> KeyedRecord:
+    """Decodes a record of a keyed topic: one byte of key length, the key, and the value if any.
 
-    Others write there too; bytes that are no text make a key that nothing else has.
+    Other programs write there too. Keys that are not UTF-8 are escaped, and match no other key.
     """
     size = record[0] if record else 0
     key = record[1 : 1 + size].decode("utf-8", "backslashreplace")
     return KeyedRecord(key, record[1 + size :] or None, offset)
 
 
-def _listed(item: _Item) -> KeyedRecord:
+def _decode_item(item: _Item) -> KeyedRecord:
     try:
         value = base64.b64decode(item.value)
     except ValueError:
-        # What the entry's reader is given can't be read either, and says so.
+        # Not base64: the raw text is passed on, and fails to decode as an entry, which is reported.
         value = item.value.encode()
     return KeyedRecord(item.key, value, item.offset)
--- a/tests/gateway/gateway_cluster.py
+++ b/tests/gateway/gateway_cluster.py
@@ -11,7 +11,7 @@
 from quincespool.gateway.daemon import GatewayDaemon
 from quincespool.gateway.decision_log import DecisionLog
 from quincespool.gateway.settings import GatewaySettings
-from quincespool.platform import wire
+from quincespool.platform import codec
 from quincespool.platform.store import PlatformStore
 from tests.support.client import fetch
 from tests.support.platform_entries import HOST_NAME
@@ -52,7 +52,7 @@
             settings,
             load_settings=lambda: settings,
             make_store=self._make_store,
-            wire=wire,
+            wire=codec,
             log=DecisionLog(asyncio.get_running_loop().time),
         )
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Records of operators and backend servers, as the platform's pages spell them."""
+"""Tests of records of operators and backend servers, in the form that the platform documents."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert "k1" not in repr(configuration).replace(digest_key("k1"), "")
 
 
-def test_no_accounts_are_told_from_an_empty_list() -> None:
+def test_missing_accounts_differ_from_an_empty_list() -> None:
     assert read_configuration(CONFIGURATION).accounts is None
     assert read_configuration(_with_tenants([])).accounts == Accounts({}, {})
 
@@ -67,7 +67,7 @@
         [{"api_keys": ["k"]}],
     ],
 )
-def test_accounts_that_cannot_be_meant_are_refused(tenants: object) -> None:
+def test_invalid_accounts_are_rejected(tenants: object) -> None:
     with pytest.raises(msgspec.ValidationError):
         read_configuration(_with_tenants(tenants))
 
@@ -94,13 +94,13 @@
 @pytest.mark.parametrize(
     ("latency", "gap", "patience_ms"), [(250, 200, 2_000), (200, 300, 2_400), (900, 300, 3_600)]
 )
-def test_callers_wait_as_long_as_their_route_lets_them(
+def test_the_longest_gap_between_events_depends_on_the_route(
     latency: int, gap: int, patience_ms: int
 ) -> None:
-    """Symptom: turns are broken off and run again although the store is back in time.
+    """Guards against turns being cut off and run again although the store is back in time.
 
-    Events: the store is away for two seconds at the end of turns whose callers wait for 2,400 ms.
-    Cause: one figure for how long callers wait, whatever their route says.
+    The store is unreachable for two seconds at the end of turns whose callers wait for 2,400 ms.
+    The time that callers wait must be that of their route, not one figure for all.
     """
     changed = CONFIGURATION.replace(
         b'"target_latency_ms":250', f'"target_latency_ms":{latency}'.encode()
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"version":"7"}', CONFIGURATION[:-9]])
-def test_an_unreadable_configuration_is_said_to_be_so(value: bytes) -> None:
+def test_an_invalid_configuration_raises(value: bytes) -> None:
     with pytest.raises(msgspec.MsgspecError):
         read_configuration(value)
 
@@ -138,18 +138,18 @@
 }
 
 
-def test_the_start_of_a_backend_server_is_read() -> None:
+def test_the_start_time_of_a_backend_server_is_read() -> None:
     assert read_backend("e", msgspec.json.encode(FIELDS)).born_ms == 1_790_000_000_000
     without = {name: value for name, value in FIELDS.items() if name != "born"}
     assert read_backend("e", msgspec.json.encode(without)).born_ms is None
 
 
 @pytest.mark.parametrize("name", [name for name in FIELDS if name != "born"])
-def test_an_entry_with_a_missing_field_names_no_backend_server(name: str) -> None:
-    """Symptom: calls go to an address that no backend server has.
+def test_an_entry_with_a_missing_field_is_rejected(name: str) -> None:
+    """Guards against calls being sent to an address that no backend server has.
 
-    Events: another writer puts an entry under a backend server's key.
-    Cause: what the entry lacks was made up.
+    Another program writes an entry under a backend server's key. Missing fields must not be filled
+    with defaults.
     """
     without = {field: value for field, value in FIELDS.items() if field != name}
     with pytest.raises(msgspec.MsgspecError):
@@ -178,7 +178,7 @@
         {"born": -1},
     ],
 )
-def test_an_entry_with_an_absurd_field_names_no_backend_server(changes: dict[str, object]) -> None:
+def test_an_entry_with_an_invalid_field_is_rejected(changes: dict[str, object]) -> None:
     with pytest.raises(msgspec.MsgspecError):
         read_backend("e", msgspec.json.encode({**FIELDS, **changes}))
 
@@ -199,8 +199,8 @@
         ).map(lambda changes: msgspec.json.encode({**FIELDS, **changes})),
     )
 )
-def test_whatever_stands_in_the_store_is_an_entry_or_none(value: bytes) -> None:
-    """An error of another kind would end the task that follows the entries, unseen."""
+def test_any_record_gives_a_valid_entry_or_a_decode_error(value: bytes) -> None:
+    """An error of another type would end the task that follows the entries without a report."""
     try:
         entry = read_backend("e", value)
     except msgspec.MsgspecError:
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests and answers, as the platform's pages spell them."""
+"""Tests of requests and answers, in the form that the platform documents."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert call.turn.program_left_ms == 5200
 
 
-def test_a_call_of_a_tool_is_no_turn() -> None:
+def test_a_call_without_token_usage_is_no_turn() -> None:
     headers = {name: value for name, value in TURN.items() if name != "token-usage"}
     assert read_call(_request(headers)).ok.turn is None
 
@@ -76,21 +76,20 @@
     assert read_call(_request({**TURN, name: "7"}, (name, "7"))).is_error()
 
 
-def test_two_framings_are_refused() -> None:
-    """Symptom: a backend server runs a request that no caller sent.
+def test_a_request_with_a_length_and_chunks_is_rejected() -> None:
+    """Guards against request smuggling, by which a backend server runs a request nobody sent.
 
-    Events: a request with a length and chunks passes two parsers that end it at different places.
-    Cause: the rest of the first becomes a second one.
+    Two parsers end a request with a length and chunks at different places, and the rest of the
+    request becomes a second one.
     """
     smuggled = {**TURN, "content-length": "4", "transfer-encoding": "chunked"}
     assert read_call(_request(smuggled)).is_error()
 
 
-def test_what_the_gateway_sets_is_not_taken_from_callers() -> None:
-    """Symptom: an engine pins or resumes memory because a caller said so.
+def test_headers_that_the_gateway_sets_are_not_forwarded_from_callers() -> None:
+    """Guards against callers making an engine pin or resume memory.
 
-    Events: a caller sends headers that are the gateway's to set.
-    Cause: they were forwarded with the others.
+    A caller sends headers that only the gateway may set. They must not be forwarded.
     """
     own = {"hold": "1", "pin-ms": "9", "kv-backup": "x", "kv-from": "y", "request-priority": "0"}
     call = read_call(_request({**TURN, **own, "x-other": "kept"})).ok
@@ -105,10 +104,9 @@
 
 
 def test_a_backend_server_gets_the_account_and_not_the_key() -> None:
-    """Symptom: a backend server sees the keys of callers, or an account of a caller's choice.
+    """Guards against a backend server seeing keys, or an account that the caller chose.
 
-    Events: a caller sends its key, and a header that names another account.
-    Cause: both were forwarded as the caller sent them.
+    A caller sends its key and a header that names another account. Neither may be forwarded.
     """
     sent = {**TURN, "credential": "92cqf75rjvz48wuakn2f", "tenant-id": "another"}
     call = read_call(_request(sent)).ok
@@ -120,13 +118,13 @@
     assert "92cqf75rjvz48wuakn2f" not in repr((call, headers))
 
 
-def test_without_an_account_none_is_told() -> None:
+def test_without_an_account_no_account_is_sent() -> None:
     call = read_call(_request({**TURN, "tenant-id": "another"})).ok
     headers = write_attempt_headers(call, account="", backend_id="i-1", left_ms=90, priority=None)
     assert "tenant-id" not in dict(headers)
 
 
-def test_a_call_of_a_program_that_is_no_turn_bears_its_program() -> None:
+def test_a_call_that_is_no_turn_has_its_program_id() -> None:
     plain = {"request-id": "r", "program-id": "3fa81c", "affinity-key": "17"}
     call = read_call(_request(plain)).ok
     assert (call.turn, call.program_id) == (None, "3fa81c")
@@ -134,31 +132,31 @@
     assert read_call(_request({**plain, "program-id": "a b"})).error.status == 400
 
 
-def test_an_answer_without_receipt_or_encoded_is_not_stamped() -> None:
+def test_an_answer_without_a_stamp_or_with_an_encoding_is_not_stamped() -> None:
     assert read_answer_head(200, (("server-stamp", "s"),)).stamped
     assert not read_answer_head(200, ()).stamped
     assert not read_answer_head(200, (("server-stamp", "s"), ("content-encoding", "gzip"))).stamped
 
 
-def test_a_refusal_of_a_backend_server_is_told_from_a_failure() -> None:
+def test_a_refusal_of_a_backend_server_differs_from_a_failure() -> None:
     assert read_answer_head(503, (("not-executed", "1"),)).not_run
     assert read_answer_head(421, ()).not_run
     assert not read_answer_head(500, (("server-stamp", "s"),)).not_run
     assert read_answer_head(200, (("keep-alive", "timeout=10"),)).idle_s == 10.0
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_has_a_retry_after_header() -> None:
     refusal = not_run("store_away", retry_after_ms=1300)
     assert ("retry-after", "1.300") in write_refusal_headers(refusal, "r")
     names = [name for name, _ in write_refusal_headers(may_have_run("answer_lost"), "r")]
     assert "retry-after" not in names
 
 
-def test_the_directory_is_asked_and_answered() -> None:
+def test_an_address_query_is_parsed_and_answered() -> None:
     target = "/resolve?name=ficu95.example&region=addis&zone=bole"
-    question = read_address_question(HttpRequest("GET", target, (), b""))
-    assert question is not None
-    assert question.zone == "bole"
+    query = read_address_question(HttpRequest("GET", target, (), b""))
+    assert query is not None
+    assert query.zone == "bole"
     assert write_addresses(["10.1.0.38:8149"], 2000) == (
         b'{"addresses":["10.1.0.38:8149"],"ttl_s":2.0}'
     )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against its stand-in."""
+"""Tests of the store's client against a stand-in of the store."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         assert (page.end_offset, page.records) == (4, [b"", b"ccc", b"d"])
 
 
-async def test_conflicts_are_told_apart() -> None:
+async def test_conflicts_of_epoch_and_sequence_differ() -> None:
     async with make_platform_store() as store:
         client = _client(store)
         await client.append(PARTITION, [b"a"], epoch=2, sequence=0)
@@ -51,7 +51,7 @@
         assert caught.value.expected == 1
 
 
-async def test_whether_something_may_have_been_done_is_told() -> None:
+async def test_an_error_says_whether_the_request_was_refused() -> None:
     async with make_platform_store(lose_writes=1) as store:
         client = _client(store)
         with pytest.raises(StoreError) as lost:
@@ -63,7 +63,7 @@
         assert refused.value.refused
 
 
-async def test_a_silent_store_is_given_up_in_time() -> None:
+async def test_a_request_to_a_silent_store_times_out() -> None:
     async with make_platform_store(silent=True) as store:
         started = asyncio.get_running_loop().time()
         with pytest.raises(StoreError):
@@ -89,7 +89,7 @@
         assert page.end_offset == 4
 
 
-async def test_forgotten_history_is_told() -> None:
+async def test_expired_records_raise() -> None:
     async with make_platform_store() as store:
         client = _client(store)
         await client.append_keyed("keyed.op", "config", b"1")
@@ -100,7 +100,7 @@
         assert [one.value for one in (await client.read_newest("keyed.op")).records] == [b"1"]
 
 
-async def test_a_full_store_says_so_and_takes_records_again_after_trimming() -> None:
+async def test_a_full_store_raises_and_accepts_records_after_trimming() -> None:
     async with make_platform_store() as store:
         client = _client(store)
         store.state.total_bytes = 18
@@ -115,7 +115,7 @@
         assert (await client.read(PARTITION, 1)).records == [b"12345", b"67890"]
 
 
-async def test_a_group_deals_partitions_and_tells_who_has_them() -> None:
+async def test_a_group_assigns_partitions_and_lists_their_owners() -> None:
     async with make_platform_store() as store:
         client = _client(store)
         alone = await client.join(["programs.0"], member_id="a", generation=0)
