--- a/src/quincespool/gateway/members/member_table.py
+++ b/src/quincespool/gateway/members/member_table.py
@@ -125,8 +125,8 @@
         watchers, rest = self._ring[:WATCHER_COUNT], self._ring[WATCHER_COUNT:]
         first = self._next_target % len(rest)
         self._next_target = first + HEARTBEAT_FANOUT - WATCHER_COUNT
-        turn = (rest + rest)[first : self._next_target]
-        return watchers + turn
+        rotation = (rest + rest)[first : self._next_target]
+        return watchers + rotation
 
     def check_silence(self, now_ms: int) -> tuple[list[Daemon], list[Daemon]]:
         """Returns the watched daemons to ask for a heartbeat, and those considered crashed.
@@ -136,7 +136,7 @@
         and count as silent from now on.
         """
         verdict = self._silence_watch.check(self._watched_received_ms(), now_ms)
-        gone = [
+        crashed = [
             self.entries[name]._replace(
                 incarnation=self._last_heartbeats[name].heartbeat.incarnation
             )
@@ -144,7 +144,7 @@
         ]
         for name in verdict.gone:
             self.suspect(name)
-        return [self.entries[name] for name in verdict.ask], gone
+        return [self.entries[name] for name in verdict.ask], crashed
 
     def silence_check_due_in_ms(self, now_ms: int) -> int:
         """Returns the time in ms until `check_silence` may find a daemon without new heartbeats."""
@@ -295,8 +295,10 @@
         places = [(stable_hash(one.member_id), one) for one in others]
         places.sort(key=lambda place: (place[0] <= own, place[0]))
         self._ring = [one for _, one in places]
-        turns = math.ceil((len(self._ring) - WATCHER_COUNT) / (HEARTBEAT_FANOUT - WATCHER_COUNT))
-        self.heartbeat_round_ms = BEAT_MS * (turns if self._is_large else 1)
+        heartbeat_count = math.ceil(
+            (len(self._ring) - WATCHER_COUNT) / (HEARTBEAT_FANOUT - WATCHER_COUNT)
+        )
+        self.heartbeat_round_ms = BEAT_MS * (heartbeat_count if self._is_large else 1)
         self._watched = frozenset(one.member_id for one in self._ring[-WATCHER_COUNT:])
 
     def _silence_limit_ms(self, member_id: str) -> int:
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -151,10 +151,10 @@
 
         Otherwise nobody could take over the programs of a crashed owner until its lease expires.
         """
-        ask, gone = self._members.check_silence(now_ms())
-        for daemon in ask:
+        silent, crashed = self._members.check_silence(now_ms())
+        for daemon in silent:
             self._socket.send([daemon], SilenceQuestion(daemon.incarnation))
-        for daemon in gone:
+        for daemon in crashed:
             self._end_lease(daemon, "silent")
             notice = SilenceNotice(daemon.member_id, daemon.incarnation)
             self._socket.send(self._members.others, notice)
@@ -196,7 +196,7 @@
     def _send_heartbeat(self, daemons: list[Daemon], *, generation: int | None = None) -> None:
         self._sequence += 1
         speed = self._backend_reports.take_speed_to_tell()
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             incarnation=self._own.incarnation,
             sequence=self._sequence,
             draining=self.draining,
@@ -207,7 +207,7 @@
             engine_id=speed.backend_id if speed is not None else "",
             engine_event_us=round(1_000 * speed.event_ms) if speed is not None else 0,
         )
-        self._socket.send(daemons, beat)
+        self._socket.send(daemons, heartbeat)
 
     def announce_crash(self, fingerprint: str, backend_id: str) -> None:
         """Reports to the others that a backend server crashed while it ran a request."""
@@ -220,8 +220,8 @@
     def update_isolation(self) -> None:
         """Gives up all partitions while this daemon is cut off from all others.
 
-        The store alone would leave the partitions here, and their programs could go on only
-        through callers that happen to be connected to this daemon.
+        The store does not notice the isolation and would leave the partitions here. Their programs
+        could go on only through callers that happen to be connected to this daemon.
         """
         isolated = self._members.is_isolated(now_ms())
         if isolated and len(self._ownership.owned) == self._partition_count:
@@ -252,7 +252,7 @@
         if not isinstance(message, Heartbeat):
             return
         if self._cluster_view.hear(sender, message):
-            # The sender may have missed this daemon's heartbeats for as long.
+            # The sender was silent until now, and may have missed this daemon's heartbeats as well.
             self.send_heartbeat_to(self._members.entries[sender])
         if message.engine_id:
             self._backend_reports.hear_speed(message.engine_id, message.engine_event_us / 1_000)
@@ -267,15 +267,15 @@
         In a large group whose hosts are all short of processor time, answers to all would use up
         what is left of it.
         """
-        asker = self._members.entries.get(sender)
-        if asker is not None:
-            self._send_heartbeat([asker])
+        watcher = self._members.entries.get(sender)
+        if watcher is not None:
+            self._send_heartbeat([watcher])
 
     def _on_silence_notice(self, sender: str, notice: SilenceNotice) -> None:
         if notice.member_id == self._own.member_id:
             self.announce()
         elif self._members.record_silence_notice(notice.member_id, notice.incarnation, now_ms()):
             self._log.write("daemon said to be silent", peer_id=notice.member_id, told_by=sender)
-            silent = self._members.entries.get(notice.member_id)
-            if silent is not None:
-                self._on_silent(silent)
+            daemon = self._members.entries.get(notice.member_id)
+            if daemon is not None:
+                self._on_silent(daemon)
--- a/tests/gateway/members/test_member_table.py
+++ b/tests/gateway/members/test_member_table.py
@@ -145,7 +145,9 @@
     crashed_by_watcher = {
         name: members.check_silence(silent_ms)[1] for name, members in group.items()
     }
-    watchers = [name for name, gone in crashed_by_watcher.items() if gone == [_daemon("d7", 1)]]
+    watchers = [
+        name for name, crashed in crashed_by_watcher.items() if crashed == [_daemon("d7", 1)]
+    ]
     assert len(watchers) == WATCHER_COUNT
     assert asking == watchers
     assert all(members.check_silence(silent_ms)[1] == [] for members in group.values())
--- a/tests/gateway/members/test_presence.py
+++ b/tests/gateway/members/test_presence.py
@@ -34,9 +34,9 @@
     Its watcher has to request a heartbeat before it considers the daemon crashed.
     """
     async with GatewayCluster(2) as cluster:
-        asker, asked = cluster.nodes["a"].daemon, cluster.nodes["b"].daemon
-        asked._ticker.stop()
+        watcher, watched = cluster.nodes["a"].daemon, cluster.nodes["b"].daemon
+        watched._ticker.stop()
         for _ in range(3):
             await asyncio.sleep(ASK_MS / 1000)
-            assert asker._members.is_alive("b", now_ms())
-            assert asked._ownership.owned
+            assert watcher._members.is_alive("b", now_ms())
+            assert watched._ownership.owned
