--- a/src/quincespool/gateway/backends/attempt.py
+++ b/src/quincespool/gateway/backends/attempt.py
@@ -28,8 +28,8 @@
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Headers
-    from quincespool.gateway.wire import AnswerHead
-    from quincespool.gateway.wire import Wire
+    from quincespool.gateway.platform_codec import AnswerHead
+    from quincespool.gateway.platform_codec import PlatformCodec
     from quincespool.net.metrics import Metrics
 
 MAX_ANSWER_BYTES = 16_000_000
@@ -75,7 +75,7 @@
 
     backends: Backends
     pool: ConnectionPool
-    wire: Wire
+    wire: PlatformCodec
     log: DecisionLog
     metrics: Metrics
     crashes: CrashWatch
@@ -245,7 +245,7 @@
             ejected=ejected,
         )
         # One that leaves ends by itself with whatever is there, which is no crash.
-        if event.closed and services.backends.is_usable(entry.life):
+        if event.closed and services.backends.is_usable(entry.incarnation):
             start_kept(self._check_crash(), _checks)
         return Lost(event.detail)
 
@@ -286,7 +286,7 @@
         except ConnectError:
             mark = fingerprint(self._call)
             # Two lives under one id are two crashes.
-            life = str(self.entry.life)
+            life = str(self.entry.incarnation)
             crashes = self._services.crashes.note(mark, life, now_ms())
             self._services.tell_crash(mark, life)
             self._services.log.write(
--- a/src/quincespool/gateway/backends/reports.py
+++ b/src/quincespool/gateway/backends/reports.py
@@ -13,7 +13,7 @@
 from quincespool.gateway.members.messages import BackendReport
 from quincespool.gateway.members.messages import read_optional
 from quincespool.gateway.members.messages import write_optional
-from quincespool.gateway.model import BackendLife
+from quincespool.gateway.model import BackendIncarnation
 from quincespool.policy.engine_speeds import Answer
 
 if TYPE_CHECKING:
@@ -46,13 +46,13 @@
     def report(self, entry: BackendEntry, reason: str) -> None:
         """Takes note of a call of this daemon that went wrong, and tells the others if it helps."""
         tell = self._backends.is_failure_worth_telling(entry.backend_id, self._member_id, now_ms())
-        self._note(entry.life, self._member_id, reason)
+        self._note(entry.incarnation, self._member_id, reason)
         if tell:
             self._tell(entry, None, reason)
 
     def report_late(self, entry: BackendEntry, late_ms: int) -> None:
         """Takes note of an answer that should have begun, and tells the others if it helps."""
-        if self._backends.note_late(entry.life, self._member_id, late_ms, now_ms()):
+        if self._backends.note_late(entry.incarnation, self._member_id, late_ms, now_ms()):
             self._tell(entry, late_ms, "overdue")
 
     def take_speed_to_tell(self) -> Answer | None:
@@ -65,7 +65,7 @@
 
     def hear(self, sender: str, told: BackendReport) -> None:
         """Takes in what another daemon tells."""
-        life = BackendLife(told.backend_id, read_optional(told.born_ms))
+        life = BackendIncarnation(told.backend_id, read_optional(told.born_ms))
         late_ms = read_optional(told.late_ms)
         if late_ms is None:
             self._note(life, sender, "told")
@@ -77,7 +77,7 @@
         born_ms = write_optional(entry.born_ms)
         self._send(BackendReport(entry.backend_id, born_ms, write_optional(late_ms)))
 
-    def _note(self, life: BackendLife, reporter: str, reason: str) -> None:
+    def _note(self, life: BackendIncarnation, reporter: str, reason: str) -> None:
         hold_ms = self._backends.note_failure(life, reporter, now_ms())
         if hold_ms is None:
             return
--- a/src/quincespool/gateway/backends/table.py
+++ b/src/quincespool/gateway/backends/table.py
@@ -21,7 +21,7 @@
     from collections.abc import Iterable
 
     from quincespool.gateway.model import BackendEntry
-    from quincespool.gateway.model import BackendLife
+    from quincespool.gateway.model import BackendIncarnation
 
 # At most this part of a service is passed over at once: with more, the fault is likely our own.
 MAX_EJECTED_SHARE = 0.5
@@ -185,7 +185,7 @@
         """Whether a report of this daemon changes anything at the others."""
         return self._shared_failures.is_worth_telling(backend_id, reporter, now_ms)
 
-    def note_failure(self, life: BackendLife, reporter: str, now_ms: int) -> int | None:
+    def note_failure(self, life: BackendIncarnation, reporter: str, now_ms: int) -> int | None:
         """Takes in that a call of some daemon went wrong at a backend server.
 
         Returns:
@@ -197,7 +197,7 @@
         group = [one.backend_id for one in self.entries.values() if one.service == entry.service]
         return self._shared_failures.note(life.backend_id, reporter, group=group, now_ms=now_ms)
 
-    def note_late(self, life: BackendLife, reporter: str, late_ms: int, now_ms: int) -> bool:
+    def note_late(self, life: BackendIncarnation, reporter: str, late_ms: int, now_ms: int) -> bool:
         """Takes in for how long an answer to some daemon has not begun that should have.
 
         It counts as a long latency, not as a failure: passed over by all daemons at once, slow
@@ -214,7 +214,7 @@
         self._latencies.observe(life.backend_id, late_ms, now_ms)
         return True
 
-    def is_usable(self, life: BackendLife) -> bool:
+    def is_usable(self, life: BackendIncarnation) -> bool:
         """Whether a process is known and takes new calls."""
         entry = self._living(life)
         return entry is not None and not entry.leaving
@@ -229,7 +229,7 @@
         *,
         now_ms: int,
         exclude: frozenset[str] = frozenset(),
-        prefer: BackendLife | None = None,
+        prefer: BackendIncarnation | None = None,
         connected: frozenset[str] = frozenset(),
     ) -> BackendEntry | None:
         """Returns the backend server to send a call to, None if there is none.
@@ -259,10 +259,10 @@
         )
         return self.entries[chosen_id]
 
-    def _living(self, life: BackendLife) -> BackendEntry | None:
+    def _living(self, life: BackendIncarnation) -> BackendEntry | None:
         """Returns the entry of a process, None if it is gone or not known here yet."""
         entry = self.entries.get(life.backend_id)
-        return entry if entry is not None and entry.life == life else None
+        return entry if entry is not None and entry.incarnation == life else None
 
     def _candidate(self, entry: BackendEntry, now_ms: int, connected: frozenset[str]) -> Candidate:
         backend_id, service = entry.backend_id, entry.service
--- a/src/quincespool/gateway/callers/caller_limits.py
+++ b/src/quincespool/gateway/callers/caller_limits.py
@@ -18,11 +18,11 @@
 
 def connection_limits(limits: CallerLimits) -> ConnectionLimits:
     """Returns the limits of a connection of a caller."""
-    idle_s = (limits.idle_ms + IDLE_MARGIN_MS) / 1000
+    idle_s = (limits.idle_timeout_ms + IDLE_MARGIN_MS) / 1000
     return ConnectionLimits(
         max_head_bytes=limits.max_head_bytes,
         first_s=idle_s,
-        head_s=(limits.head_ms + HEAD_MARGIN_MS) / 1000,
+        head_s=(limits.head_timeout_ms + HEAD_MARGIN_MS) / 1000,
         body_s=default_limits().body_s,
         idle_s=idle_s,
     )
--- a/src/quincespool/gateway/callers/front.py
+++ b/src/quincespool/gateway/callers/front.py
@@ -13,7 +13,7 @@
 from quincespool.gateway.model import FAILED
 from quincespool.gateway.model import CallKind
 from quincespool.gateway.model import Turn
-from quincespool.gateway.model import make_terms
+from quincespool.gateway.model import make_turn_parameters
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.model import not_run
 from quincespool.gateway.model import scoped_program
@@ -118,14 +118,16 @@
         if permit.refusal is not None:
             reply.refuse(permit.refusal)
             return ""
-        decision = decision._replace(is_pressed=permit.is_pressed)
+        decision = decision._replace(is_near_limit=permit.is_pressed)
         try:
             if not self._has_time_until(until_ms):
                 # The stop has begun while the call waited for its permit.
                 reply.refuse(_ENDS_FIRST)
                 return ""
             if decision.route.kind is CallKind.STREAMING:
-                return await self._relay.run(call, make_terms(decision), reply, until_ms=until_ms)
+                return await self._relay.run(
+                    call, make_turn_parameters(decision), reply, until_ms=until_ms
+                )
             reply.whole(await self._plain.run(call, decision, until_ms=until_ms))
             return ""
         finally:
--- a/src/quincespool/gateway/callers/routes.py
+++ b/src/quincespool/gateway/callers/routes.py
@@ -101,11 +101,11 @@
 def _draw(configuration: Configuration, route: Route, call: Call) -> Service:
     """Draws by a hash of the program, so that the turns of one program share an engine's cache."""
     key = call.turn.program_id if call.turn is not None else call.call_id
-    total = sum(share.weight for share in route.shares)
+    total = sum(share.weight for share in route.weighted_services)
     digest = hashlib.blake2b(f"{route.name}|{key}".encode(), digest_size=8).digest()
     point = int.from_bytes(digest, "big") % max(1, total)
-    for share in route.shares:
+    for share in route.weighted_services:
         point -= share.weight
         if point < 0:
             return configuration.services[share.service]
-    return configuration.services[route.shares[0].service]
+    return configuration.services[route.weighted_services[0].service]
--- a/src/quincespool/gateway/callers/side_ports.py
+++ b/src/quincespool/gateway/callers/side_ports.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.wire import Wire
+    from quincespool.gateway.platform_codec import PlatformCodec
     from quincespool.net.http_connection import Connection
     from quincespool.net.metrics import Metrics
     from quincespool.net.requests import HttpRequest
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        wire: Wire,
+        wire: PlatformCodec,
         metrics: Metrics,
         is_ready: Callable[[], bool],
         addresses: Callable[[str], list[str]],
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -23,18 +23,18 @@
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.futures import keep_running
 from quincespool.gateway.live_settings import LiveSettings
+from quincespool.gateway.maintenance import MaintenanceTasks
 from quincespool.gateway.members.presence import Presence
 from quincespool.gateway.members.table import Members
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.planned_stop import PlannedStop
-from quincespool.gateway.store.beliefs import Beliefs
-from quincespool.gateway.store.beliefs import StoreHealth
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.cluster_view import ClusterView
+from quincespool.gateway.store.cluster_view import StoreHealth
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.ticker import Ticker
 from quincespool.gateway.turns.program_parts import ProgramParts
 from quincespool.gateway.turns.renewal import Renewals
 from quincespool.gateway.turns.trimming import Trimming
-from quincespool.gateway.upkeep import Upkeep
 from quincespool.net.addresses import split_address
 from quincespool.net.http_connection import default_limits
 from quincespool.net.metrics import Metrics
@@ -45,10 +45,10 @@
 
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.messages import BackendReport
+    from quincespool.gateway.platform_codec import PlatformCodec
     from quincespool.gateway.settings import GatewaySettings
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.partition import OwnedPartition
-    from quincespool.gateway.wire import Wire
     from quincespool.net.http_connection import ConnectionLimits
 
 MAX_BODY_BYTES = 8_000_000
@@ -67,7 +67,7 @@
         *,
         load_settings: Callable[[], GatewaySettings],
         make_store: Callable[[Callable[[str, str], None]], Store],
-        wire: Wire,
+        wire: PlatformCodec,
         log: DecisionLog,
     ) -> None:
         self._settings = settings
@@ -79,7 +79,7 @@
         self._tasks: list[asyncio.Task[Any]] = []
         self._ticker = Ticker()
         self._metrics = Metrics()
-        self._hedged = HedgedCalls(
+        self._hedged = HedgedRequests(
             on_hedge=lambda: self._metrics.count("gateway_store_hedges_total")
         )
         self._store_health = StoreHealth(log, now_ms, on_return=self._hedged.wake)
@@ -129,7 +129,7 @@
             self._tell_crash,
             self._backend_reports,
         )
-        self._beliefs = Beliefs(
+        self._beliefs = ClusterView(
             member_id=settings.member_id,
             incarnation=self._incarnation,
             store=self._store,
@@ -247,7 +247,7 @@
             for _ in range(3)
         ]
 
-        self._upkeep = Upkeep(
+        self._upkeep = MaintenanceTasks(
             beliefs=self._beliefs,
             presence=self._presence,
             members=self._members,
@@ -357,7 +357,7 @@
 
     def _note_store_call(self, path: str, status: str) -> None:
         self._metrics.count("gateway_store_calls_total", path=path, status=status)
-        self._store_health.note(status)
+        self._store_health.record_status(status)
 
     def _note_partition(self, owned: OwnedPartition, detail: str) -> None:
         self._log.write("partition", **owned.dump(), lost=owned.lost, detail=detail)
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/maintenance.py
@@ -15,7 +15,7 @@
     from quincespool.gateway.members.links import Links
     from quincespool.gateway.members.presence import Presence
     from quincespool.gateway.members.table import Members
-    from quincespool.gateway.store.beliefs import Beliefs
+    from quincespool.gateway.store.cluster_view import ClusterView
     from quincespool.gateway.ticker import Ticker
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.renewal import Renewals
@@ -31,13 +31,13 @@
 LEDGER_GRACE_MS = 30_000
 
 
-class Upkeep:
+class MaintenanceTasks:
     """The interval work of one daemon."""
 
     def __init__(
         self,
         *,
-        beliefs: Beliefs,
+        beliefs: ClusterView,
         presence: Presence,
         members: Members,
         links: Links,
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -26,10 +26,10 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.members.table import Members
     from quincespool.gateway.model import Daemon
-    from quincespool.gateway.store.beliefs import Beliefs
+    from quincespool.gateway.platform_codec import PlatformCodec
+    from quincespool.gateway.store.cluster_view import ClusterView
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.ownership import Ownership
-    from quincespool.gateway.wire import Wire
 
 REGISTER_RETRY_S = 0.3
 # A daemon that takes several partitions over has read them within some tens of milliseconds; all
@@ -48,9 +48,9 @@
         self,
         own: Daemon,
         *,
-        wire: Wire,
+        wire: PlatformCodec,
         members: Members,
-        beliefs: Beliefs,
+        beliefs: ClusterView,
         ownership: Ownership,
         partition_count: int,
         crashes: CrashWatch,
--- a/src/quincespool/gateway/model.py
+++ b/src/quincespool/gateway/model.py
@@ -1,4 +1,4 @@
-"""What the gateway's parts tell one another: calls, routes, backend servers, answers."""
+"""Data types that the gateway's modules share: calls, routes, backend servers, refusals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallKind(StrEnum):
-    """What may be repeated: idempotent calls at will, others never once they may have run."""
+    """Whether a call may be retried: idempotent ones always, others only if they have not run."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -27,17 +27,18 @@
     """One model call of a program.
 
     Attributes:
-      program_id: The program; from the front on with its account, as `scoped_program` writes it.
-      previous_id: Call id of the turn that this one continues; empty for the first of its line.
-      budget_tokens: What all turns of the program together may generate; None if unlimited.
-      most_tokens: The most that this turn generates.
-      program_left_ms: Time until the program should be finished; None if it did not say.
+      program_id: The program's id; the request handler prefixes it with the caller's account, see
+        `scoped_program`.
+      previous_id: Call id of the turn that this one continues; empty if it continues none.
+      budget_tokens: Tokens that all turns of the program together may generate; None if unlimited.
+      max_tokens: Upper bound on the tokens that this turn generates.
+      program_left_ms: Time until the program's deadline; None if the caller gave no deadline.
     """
 
     program_id: str
     previous_id: str
     budget_tokens: int | None
-    most_tokens: int
+    max_tokens: int
     program_left_ms: int | None
 
 
@@ -47,13 +48,13 @@
     Attributes:
       call_id: Unique for each attempt of a caller.
       host: Host name that the caller addressed; selects the route together with the path.
-      headers: Those that the backend server gets as the caller sent them.
-      left_ms: How long the caller waits, from when the request was read.
+      headers: Headers that are forwarded to the backend server unchanged.
+      left_ms: How long the caller waits for the answer, counted from when the request was read.
       turn: Set if the call belongs to a program and generates tokens.
       program_id: The caller's program, also for calls that generate no tokens; empty if none.
-      key_digest: Of the key that the caller sent; empty if none.
-      resumes_after: Number of the last event of a stream that its caller has from an earlier call;
-        None if it begins anew.
+      key_digest: Digest of the API key that the caller sent; empty if it sent none.
+      resumes_after: Number of the last stream event that the caller received from an earlier call;
+        None if the stream starts from its first event.
     """
 
     call_id: str
@@ -69,8 +70,8 @@
     resumes_after: int | None = None
 
 
-class Share(NamedTuple):
-    """A service and its weight among those of a route."""
+class WeightedService(NamedTuple):
+    """A service of a route and its weight among the route's services."""
 
     service: str
     weight: int
@@ -80,22 +81,23 @@
     """Where calls with a host name and a path prefix go, and how long they may take.
 
     Attributes:
-      rank: Importance; 0 goes first.
-      patience_ms: How long callers wait for a stream's next event before they leave.
-      max_attempts: Backend servers that one call may be sent to.
-      keeps_history: Whether turns carry only their new input and the gateway adds what came before.
-      retention_ms: How long a whole turn can be continued from.
-      is_public: Whether callers need no key.
-      is_resumable: Whether a stream that was broken off may go on at another backend server.
+      max_event_gap_ms: How long callers wait for a stream's next event before they disconnect.
+      rank: Priority; 0 is the highest.
+      max_attempts: Number of backend servers that one call may be sent to.
+      keeps_history: Whether turns carry only their new input and the gateway prepends the program's
+        history.
+      retention_ms: How long later turns can continue from a completed turn.
+      is_public: Whether callers need no API key.
+      is_resumable: Whether an interrupted stream may be resumed at another backend server.
     """
 
     name: str
     host: str
     path_prefix: str
     kind: CallKind
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout_ms: int
-    patience_ms: int
+    max_event_gap_ms: int
     rank: int
     max_attempts: int
     keeps_history: bool
@@ -105,10 +107,11 @@
 
 
 class Service(NamedTuple):
-    """A group of like backend servers.
+    """A group of interchangeable backend servers.
 
     Attributes:
-      tokens_per_event: Generated tokens in each event of a stream; 0 for plain services.
+      tokens_per_event: Generated tokens in each event of a stream; 0 for services that generate no
+        tokens.
     """
 
     name: str
@@ -116,21 +119,28 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what one caller may send, and how slowly."""
+    """Limits on the size of a caller's requests and on how slowly it may send them.
+
+    Attributes:
+      max_head_bytes: Size of the request line and headers.
+      max_body_bytes: Size of the body.
+      head_ms: Time to send the request line and headers.
+      idle_ms: How long a connection may stay idle between requests.
+    """
 
     max_head_bytes: int = 65_536
     max_body_bytes: int = 8_000_000
-    head_ms: int = 10_000
-    idle_ms: int = 75_000
+    head_timeout_ms: int = 10_000
+    idle_timeout_ms: int = 75_000
 
 
 class Account(NamedTuple):
     """A client account.
 
     Attributes:
-      rank: Importance of its calls, in place of that of the route; None leaves that one.
-      rate_per_s: Calls a second that it may have run, at all daemons together; 0 if unlimited.
-      burst: Calls beyond the rate that it may have run at once.
+      rank: Priority of its calls, overrides that of the route; None if the route's applies.
+      rate_per_s: Calls per second that it may run, across all daemons; 0 if unlimited.
+      burst: Calls that it may run at once in excess of the rate.
     """
 
     name: str
@@ -143,8 +153,8 @@
     """The client accounts of a configuration.
 
     Attributes:
-      by_name: All of them.
-      by_key: Name of the account of each key, by the key's digest.
+      by_name: All accounts, by name.
+      by_key: Account names, by the digests of their API keys.
     """
 
     by_name: dict[str, Account]
@@ -152,10 +162,10 @@
 
 
 class Configuration(NamedTuple):
-    """Everything that operators set, as of one version.
+    """One version of everything that operators configure.
 
     Attributes:
-      accounts: None where callers need no keys.
+      accounts: None if callers need no API keys.
     """
 
     version: int
@@ -166,14 +176,14 @@
 
 
 class BackendEntry(NamedTuple):
-    """What a backend server says of itself.
+    """The entry in the store in which a backend server describes itself.
 
     Attributes:
-      backend_id: Stays the same where a backend server may start again under it.
-      leaving: Whether it finishes what it has and takes nothing new.
-      cold_ms: How much longer it is slow after its start.
-      born_ms: When it started, by its own clock; None where no backend server starts again under
-        the id that it had.
+      backend_id: May stay the same when the backend server restarts.
+      leaving: Whether it drains: it finishes the calls that it has and accepts no new ones.
+      cold_ms: How much longer it is slow because it has just started.
+      born_ms: When it started, by its own clock; None on platforms where a restarted backend server
+        always gets a new id.
     """
 
     backend_id: str
@@ -186,32 +196,32 @@
     born_ms: int | None = None
 
     @property
-    def life(self) -> BackendLife:
-        """Tells this process from earlier ones under the same id."""
-        return BackendLife(self.backend_id, self.born_ms)
+    def incarnation(self) -> BackendIncarnation:
+        """Identifies this process among all that have used the same backend id."""
+        return BackendIncarnation(self.backend_id, self.born_ms)
 
 
-class BackendLife(NamedTuple):
+class BackendIncarnation(NamedTuple):
     """One process of a backend server, from its start to its end.
 
-    What it held, and how it fared, says nothing of the next one under the same id.
+    The cache and the failures of one incarnation say nothing about the next one under the same id.
     """
 
     backend_id: str
     born_ms: int | None
 
     def __str__(self) -> str:
-        """Returns a name for logs and messages."""
+        """Returns the name that logs and messages use."""
         return self.backend_id if self.born_ms is None else f"{self.backend_id}@{self.born_ms}"
 
 
 class Daemon(NamedTuple):
-    """Where another daemon can be reached.
+    """The addresses of a daemon.
 
     Attributes:
-      incarnation: Start time of its process; a higher one replaces a lower one.
-      caller_address: For callers.
-      peer_address: For other daemons, TCP and UDP.
+      incarnation: Start time of its process; an entry with a higher one replaces one with a lower.
+      caller_address: Address for callers.
+      peer_address: Address for other daemons, both TCP and UDP.
     """
 
     member_id: str
@@ -222,12 +232,12 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that the gateway gives by itself.
+    """A final error answer that the gateway itself generates.
 
     Attributes:
       verdict: Whether the call may have run.
-      reason: Short and constant, for logs and metrics.
-      retry_after_ms: When to come back; 0 says nothing of it.
+      reason: Short constant text for logs and metrics.
+      retry_after_ms: When the caller should retry; 0 if the answer carries no such hint.
     """
 
     status: int
@@ -237,12 +247,13 @@
 
 
 class Decision(NamedTuple):
-    """Where the configuration in force sends one call.
+    """The routing decision for one call, by the configuration in force.
 
     Attributes:
-      rank: Importance of the account's calls on the route.
+      version: Version of that configuration.
+      rank: Priority of the account's calls on the route.
       account: Name of the caller's account; empty if there is none.
-      is_pressed: Whether the account has used most of what it may have run.
+      is_near_limit: Whether the account has used half of its token bucket or more.
     """
 
     version: int
@@ -250,26 +261,26 @@
     service: Service
     rank: Rank
     account: str = ""
-    is_pressed: bool = False
+    is_near_limit: bool = False
 
 
-class TurnTerms(NamedTuple):
-    """What the owner of a program needs to know of the decision on a turn; travels with it.
+class TurnParameters(NamedTuple):
+    """The part of a routing decision that the owner of a program needs; sent along with the turn.
 
     Attributes:
-      version: Of the configuration that was in force where the turn came in.
+      version: Version of the configuration that was in force at the daemon that received the turn.
       account: Name of the caller's account; empty if there is none.
-      route: Name of the route that the turn came in on.
+      route: Name of the route that the turn was received on.
       service: Name of the service whose engines run it.
       tokens_per_event: Generated tokens in each event of its stream.
-      rank: Importance.
-      timeout_ms: The longest that operators want it kept waiting.
-      patience_ms: How long callers wait for a stream's next event before they leave.
-      max_attempts: Engines that it may be sent to.
-      keeps_history: Whether the gateway adds what came before the turn.
-      retention_ms: How long the turn can be continued from.
-      is_resumable: Whether it may go on at another engine after it was broken off.
-      is_pressed: Whether the account has used most of what it may have run.
+      rank: Priority; 0 is the highest.
+      timeout_ms: The longest that the route's calls may take.
+      max_event_gap_ms: How long callers wait for a stream's next event before they disconnect.
+      max_attempts: Number of engines that it may be sent to.
+      keeps_history: Whether the gateway prepends the program's history to the turn's input.
+      retention_ms: How long later turns can continue from the turn once it is complete.
+      is_resumable: Whether an interrupted stream may be resumed at another engine.
+      is_near_limit: Whether the account has used half of its token bucket or more.
     """
 
     version: int
@@ -279,18 +290,18 @@
     tokens_per_event: int
     rank: Rank
     timeout_ms: int
-    patience_ms: int
+    max_event_gap_ms: int
     max_attempts: int
     keeps_history: bool
     retention_ms: int
     is_resumable: bool
-    is_pressed: bool
+    is_near_limit: bool
 
 
-def make_terms(decision: Decision) -> TurnTerms:
-    """Returns the part of a decision that a turn's owner needs."""
+def make_turn_parameters(decision: Decision) -> TurnParameters:
+    """Returns the part of a routing decision that a turn's owner needs."""
     route, service = decision.route, decision.service
-    return TurnTerms(
+    return TurnParameters(
         version=decision.version,
         account=decision.account,
         route=route.name,
@@ -298,47 +309,47 @@
         tokens_per_event=service.tokens_per_event,
         rank=decision.rank,
         timeout_ms=route.timeout_ms,
-        patience_ms=route.patience_ms,
+        max_event_gap_ms=route.max_event_gap_ms,
         max_attempts=route.max_attempts,
         keeps_history=route.keeps_history,
         retention_ms=route.retention_ms,
         is_resumable=route.is_resumable,
-        is_pressed=decision.is_pressed,
+        is_near_limit=decision.is_near_limit,
     )
 
 
 def digest_key(key: str) -> str:
-    """Returns what stands for a caller's key everywhere behind the front.
+    """Returns the digest that replaces a caller's API key once its request has been read.
 
-    A key that were kept itself would get into logs, dumps and messages.
+    The key itself would appear in logs, dumps and messages between daemons.
     """
     return hashlib.blake2b(key.encode(), digest_size=16).hexdigest()
 
 
 def scoped_program(account: str, program_id: str) -> str:
-    """Returns a program's id among those of all accounts.
+    """Returns a program id that is unique across accounts.
 
-    Neither an account's name nor a program's id has spaces in it. Without the account, a caller of
-    one account that names a program of another would go on with its history and its budget.
+    Neither account names nor program ids contain spaces. Without the account, a caller of one
+    account that names a program of another would continue its history and use its budget.
     """
     return f"{account} {program_id}" if account else program_id
 
 
 def account_of(program_id: str) -> str:
-    """Returns the account in what `scoped_program` has returned, empty if there is none."""
+    """Returns the account of an id that `scoped_program` returned; empty if there is none."""
     account, space, _ = program_id.partition(" ")
     return account if space else ""
 
 
-# Of a call that has met a fault of this program.
+# Reason of the refusal when a call failed because of a bug in the gateway.
 FAILED = "failed"
 
 
 def not_run(reason: str, *, retry_after_ms: int = 0, status: int = 503) -> Refusal:
-    """Returns the refusal of a call that has not run and never will."""
+    """Returns the refusal of a call that has not run and will not."""
     return Refusal(status, Verdict.NOT_RUN, reason, retry_after_ms)
 
 
 def may_have_run(reason: str, *, status: int = 502) -> Refusal:
-    """Returns the final answer to a call whose effect is not known."""
+    """Returns the refusal of a call that may have run, with an unknown result."""
     return Refusal(status, Verdict.MAY_HAVE_RUN, reason)
--- a/src/quincespool/gateway/wire.py
+++ b/src/quincespool/gateway/platform_codec.py
@@ -44,7 +44,7 @@
     zone: str
 
 
-class Wire(Protocol):
+class PlatformCodec(Protocol):
     """Encodes and decodes; holds no state."""
 
     CONFIGURATION_TOPIC: str
--- a/src/quincespool/gateway/store/beliefs.py
+++ b/src/quincespool/gateway/store/cluster_view.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from quincespool.gateway.backends.table import EntryNews
-from quincespool.gateway.store.follower import Follower
+from quincespool.gateway.store.follower import TopicFollower
 from quincespool.policy.polling import entries_interval_ms
 from quincespool.policy.polling import members_pause_ms
 
@@ -27,9 +27,9 @@
     from quincespool.gateway.model import BackendEntry
     from quincespool.gateway.model import Configuration
     from quincespool.gateway.model import Daemon
+    from quincespool.gateway.platform_codec import PlatformCodec
     from quincespool.gateway.store.interface import KeyedRecord
     from quincespool.gateway.store.interface import Store
-    from quincespool.gateway.wire import Wire
 
 # A read of the configuration waits this long for a change; a connection that has gone silent is
 # noticed after it.
@@ -76,7 +76,7 @@
         silent_ms = self._now_ms() - self._succeeded_ms
         return self._failures == 0 and silent_ms <= SILENCE_TO_LOSE_MS
 
-    def note(self, status: str) -> None:
+    def record_status(self, status: str) -> None:
         """Takes the outcome of a request in: a status or `unanswered`."""
         self._note_room(status)
         if status in ("unanswered", "503", "429"):
@@ -108,7 +108,7 @@
             self._log.write_always("store has room")
 
 
-class Beliefs:
+class ClusterView:
     """Follows the store's topics and the heartbeats of other daemons."""
 
     def __init__(
@@ -118,7 +118,7 @@
         incarnation: int,
         store: Store,
         store_health: StoreHealth,
-        wire: Wire,
+        wire: PlatformCodec,
         routes: RouteTable,
         backends: Backends,
         pool: ConnectionPool,
@@ -145,7 +145,7 @@
         self._on_predecessor = on_predecessor
         self._on_newer_configuration = on_newer_configuration
         self._on_configuration = on_configuration
-        self.configuration = Follower(
+        self.configuration = TopicFollower(
             wire.CONFIGURATION_TOPIC,
             store=store,
             on_record=self._take_configuration,
@@ -153,7 +153,7 @@
             wait_ms=CONFIGURATION_WAIT_MS,
             pause_ms=lambda: 0,
         )
-        self.backend_entries = Follower(
+        self.backend_entries = TopicFollower(
             wire.BACKENDS_TOPIC,
             store=store,
             on_record=self._take_backend_record,
@@ -161,7 +161,7 @@
             wait_ms=0,
             pause_ms=lambda: entries_interval_ms(backends_interval_ms(), len(members.entries)),
         )
-        self.daemon_entries = Follower(
+        self.daemon_entries = TopicFollower(
             wire.DAEMONS_TOPIC,
             store=store,
             on_record=self._take_daemon,
--- a/src/quincespool/gateway/store/follower.py
+++ b/src/quincespool/gateway/store/follower.py
@@ -21,7 +21,7 @@
 RETRY_S = 0.25
 
 
-class Follower:
+class TopicFollower:
     """Reads one keyed topic to its end, again and again.
 
     Attributes:
--- a/src/quincespool/gateway/store/hedged_calls.py
+++ b/src/quincespool/gateway/store/hedged_requests.py
@@ -22,7 +22,7 @@
 MAX_COPIES = 3
 
 
-class HedgedCalls:
+class HedgedRequests:
     """Sends copies of a request until one is answered; shared by all requests of a daemon.
 
     What goes wrong without it: an answer of the store is lost, its connection says nothing any
@@ -48,7 +48,7 @@
         """Waits, at most until the store has come back."""
         await asyncio.wait({self._returned}, timeout=seconds)
 
-    async def first(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    async def first_answer(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
         """Returns the first result that a copy of the request brings.
 
         Args:
--- a/src/quincespool/gateway/turns/admission.py
+++ b/src/quincespool/gateway/turns/admission.py
@@ -15,7 +15,7 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Refusal
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
     from quincespool.gateway.turns.ledger import Ledger
     from quincespool.net.metrics import Metrics
     from quincespool.policy.admission import Rejection
@@ -24,13 +24,13 @@
 class ProgramAdmission(Protocol):
     """Says which programs may begin, and is told how their turns fare."""
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
+    def refuse(self, call: Call, terms: TurnParameters, ledger: Ledger) -> Refusal | None:
         """Returns the refusal of a program's first turn, None if the turn may run."""
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
+    def note_begin(self, terms: TurnParameters, took_ms: float) -> None:
         """Takes in how long a turn took from its owner to its first event."""
 
-    def note_full(self, terms: TurnTerms) -> None:
+    def note_full(self, terms: TurnParameters) -> None:
         """Takes in that no engine took a turn."""
 
     def learn(self) -> None:
@@ -43,15 +43,15 @@
 class OpenAdmission:
     """Lets every program begin."""
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
+    def refuse(self, call: Call, terms: TurnParameters, ledger: Ledger) -> Refusal | None:
         """See `ProgramAdmission.refuse`."""
         del call, terms, ledger
         return None
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
+    def note_begin(self, terms: TurnParameters, took_ms: float) -> None:
         """See `ProgramAdmission.note_begin`."""
 
-    def note_full(self, terms: TurnTerms) -> None:
+    def note_full(self, terms: TurnParameters) -> None:
         """See `ProgramAdmission.note_full`."""
 
     def learn(self) -> None:
@@ -70,7 +70,7 @@
         self._log = log
         self._metrics = metrics
 
-    def refuse(self, call: Call, terms: TurnTerms, ledger: Ledger) -> Refusal | None:
+    def refuse(self, call: Call, terms: TurnParameters, ledger: Ledger) -> Refusal | None:
         """See `ProgramAdmission.refuse`."""
         turn = call.turn
         assert turn is not None
@@ -78,7 +78,7 @@
         kind = ProgramKind(terms.route, terms.rank)
         has_begun = bool(turn.previous_id) or turn.program_id in ledger.programs
         if not has_begun and turn.program_left_ms is not None:
-            left_ms, is_pressed = turn.program_left_ms, terms.is_pressed
+            left_ms, is_pressed = turn.program_left_ms, terms.is_near_limit
             program = NewProgram(terms.service, kind, left_ms, is_pressed)
             rejection = self._control.reject(program, at_ms)
             if rejection is not None:
@@ -88,7 +88,7 @@
         return None
 
     def _note_rejection(
-        self, call: Call, terms: TurnTerms, program: NewProgram, rejection: Rejection
+        self, call: Call, terms: TurnParameters, program: NewProgram, rejection: Rejection
     ) -> None:
         self._metrics.count("gateway_programs_refused_total", route=terms.route)
         self._log.write(
@@ -108,13 +108,13 @@
             retry_after_ms=rejection.retry_after_ms,
         )
 
-    def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
+    def note_begin(self, terms: TurnParameters, took_ms: float) -> None:
         """See `ProgramAdmission.note_begin`."""
         self._control.note_begin(terms.service, terms.rank, took_ms, now_ms())
         wait_ms = self._control.wait_ms(terms.service, terms.rank, now_ms())
         self._metrics.observe("gateway_turn_wait_ms", wait_ms)
 
-    def note_full(self, terms: TurnTerms) -> None:
+    def note_full(self, terms: TurnParameters) -> None:
         """See `ProgramAdmission.note_full`."""
         self._control.note_full(terms.service, terms.rank, now_ms())
 
--- a/src/quincespool/gateway/turns/ownership.py
+++ b/src/quincespool/gateway/turns/ownership.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
     from collections.abc import Coroutine
 
-    from quincespool.gateway.store.hedged_calls import HedgedCalls
+    from quincespool.gateway.store.hedged_requests import HedgedRequests
     from quincespool.gateway.store.interface import Assignment
     from quincespool.gateway.store.interface import Store
 
@@ -64,7 +64,7 @@
         topics: list[str],
         lease_ms: int,
         store: Store,
-        hedged: HedgedCalls,
+        hedged: HedgedRequests,
         store_reachable: Callable[[], bool],
         on_change: Callable[[OwnedPartition, str], None],
         on_assignment: Callable[[int, int], None],
@@ -208,7 +208,7 @@
 
     async def _release(self, owner_id: str) -> None:
         try:
-            await self._hedged.first(lambda: self._store.leave(owner_id))
+            await self._hedged.first_answer(lambda: self._store.leave(owner_id))
         except StoreError:
             # The lease runs out by itself.
             return
@@ -223,7 +223,7 @@
         # Counted from before the request: the store counts from when it arrives.
         asked_ms = now_ms()
         try:
-            assignment = await self._hedged.first(self._join)
+            assignment = await self._hedged.first_answer(self._join)
         except StoreError:
             # Partitions are kept: whether the lease has run out only the store knows, and a write
             # under an old epoch is refused by it.
--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -38,7 +38,7 @@
     from collections.abc import Coroutine
     from collections.abc import Iterator
 
-    from quincespool.gateway.store.hedged_calls import HedgedCalls
+    from quincespool.gateway.store.hedged_requests import HedgedRequests
     from quincespool.gateway.store.interface import Partition
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.ledger import Record
@@ -76,7 +76,7 @@
         *,
         epoch: int,
         store: Store,
-        hedged: HedgedCalls,
+        hedged: HedgedRequests,
         on_change: Callable[[OwnedPartition, str], None],
     ) -> None:
         self.partition = partition
@@ -185,7 +185,7 @@
 
     async def _ask_store(self) -> None:
         try:
-            await self._hedged.first(lambda: self._send([]))
+            await self._hedged.first_answer(lambda: self._send([]))
         except FencedError:
             self.lose("fenced")
 
@@ -366,7 +366,7 @@
         pause_s = FIRST_RETRY_S
         while True:
             try:
-                end_offset = await self._hedged.first(lambda: self._send(records))
+                end_offset = await self._hedged.first_answer(lambda: self._send(records))
             except (FencedError, SequenceError):
                 raise
             except StoreError as error:
--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_parts.py
@@ -34,9 +34,9 @@
     from quincespool.gateway.members.links import Link
     from quincespool.gateway.members.table import Members
     from quincespool.gateway.settings import GatewaySettings
-    from quincespool.gateway.store.beliefs import Beliefs
-    from quincespool.gateway.store.beliefs import StoreHealth
-    from quincespool.gateway.store.hedged_calls import HedgedCalls
+    from quincespool.gateway.store.cluster_view import ClusterView
+    from quincespool.gateway.store.cluster_view import StoreHealth
+    from quincespool.gateway.store.hedged_requests import HedgedRequests
     from quincespool.gateway.store.interface import Partition
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.ledger import Record
@@ -56,12 +56,12 @@
         *,
         incarnation: int,
         store: Store,
-        hedged: HedgedCalls,
+        hedged: HedgedRequests,
         store_health: StoreHealth,
         services: Services,
         members: Members,
         routes: RouteTable,
-        beliefs: Beliefs,
+        beliefs: ClusterView,
         on_partition: Callable[[OwnedPartition, str], None],
         on_refused: Callable[[str], None],
         has_time_until: Callable[[int], bool],
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -47,7 +47,7 @@
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Daemon
     from quincespool.gateway.model import Headers
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
     from quincespool.gateway.turns.ledger import Record
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.partition import OwnedPartition
@@ -144,7 +144,7 @@
         """Records of turns under way that lost their owner, here or for other daemons."""
         return len(self._settling_for) + self._turns.settling
 
-    async def run(self, call: Call, terms: TurnTerms, reply: Reply, *, until_ms: int) -> str:
+    async def run(self, call: Call, terms: TurnParameters, reply: Reply, *, until_ms: int) -> str:
         """Answers a turn; returns the member id of the daemon that did, empty if none."""
         assert call.turn is not None
         partition = self._partition_for(call.turn.program_id)
@@ -232,7 +232,7 @@
                 pending.done.set_result(may_have_run("owner_lost"))
 
     async def _hand_over(
-        self, owner: Daemon, call: Call, terms: TurnTerms, reply: Reply, until_ms: int
+        self, owner: Daemon, call: Call, terms: TurnParameters, reply: Reply, until_ms: int
     ) -> Refusal | None:
         """Relays a turn to its owner; returns None if it was answered, else the refusal."""
         link = await self._links.get(owner.peer_address)
@@ -304,7 +304,7 @@
     async def _run_for(
         self,
         call: Call,
-        terms: TurnTerms,
+        terms: TurnParameters,
         owned: OwnedPartition,
         reply: _RemoteReply,
         until_ms: int,
--- a/src/quincespool/gateway/turns/relay_codec.py
+++ b/src/quincespool/gateway/turns/relay_codec.py
@@ -10,11 +10,11 @@
 from quincespool.gateway.model import CallKind
 from quincespool.gateway.model import Headers
 from quincespool.gateway.model import Turn
-from quincespool.gateway.model import TurnTerms
+from quincespool.gateway.model import TurnParameters
 from quincespool.policy.urgency import Rank
 
 
-def write_relay(relay_id: int, call: Call, terms: TurnTerms, *, left_ms: int) -> RelayCall:
+def write_relay(relay_id: int, call: Call, terms: TurnParameters, *, left_ms: int) -> RelayCall:
     """Returns the message for a turn and what the receiver has decided on it."""
     turn = call.turn
     assert turn is not None
@@ -30,12 +30,12 @@
         program_id=turn.program_id,
         previous_id=turn.previous_id,
         budget_tokens=write_optional(turn.budget_tokens),
-        most_tokens=turn.most_tokens,
+        most_tokens=turn.max_tokens,
         program_left_ms=write_optional(turn.program_left_ms),
         configuration_version=terms.version,
         kind=CallKind.STREAMING,
         timeout_ms=terms.timeout_ms,
-        patience_ms=terms.patience_ms,
+        patience_ms=terms.max_event_gap_ms,
         rank=terms.rank.first,
         max_attempts=terms.max_attempts,
         keeps_history=terms.keeps_history,
@@ -47,17 +47,17 @@
         route_rank=terms.rank.then,
         resumable=terms.is_resumable,
         resumes_after=write_optional(call.resumes_after),
-        pressed=terms.is_pressed,
+        pressed=terms.is_near_limit,
     )
 
 
-def read_relay(message: RelayCall) -> tuple[Call, TurnTerms]:
+def read_relay(message: RelayCall) -> tuple[Call, TurnParameters]:
     """Returns the call and the terms in a message."""
     turn = Turn(
         program_id=message.program_id,
         previous_id=message.previous_id,
         budget_tokens=read_optional(message.budget_tokens),
-        most_tokens=message.most_tokens,
+        max_tokens=message.most_tokens,
         program_left_ms=read_optional(message.program_left_ms),
     )
     call = Call(
@@ -72,7 +72,7 @@
         program_id=message.program_id,
         resumes_after=read_optional(message.resumes_after),
     )
-    terms = TurnTerms(
+    terms = TurnParameters(
         version=message.configuration_version,
         account=message.account,
         route=message.route,
@@ -80,12 +80,12 @@
         tokens_per_event=message.tokens_per_event,
         rank=Rank(message.rank, message.route_rank),
         timeout_ms=message.timeout_ms,
-        patience_ms=message.patience_ms,
+        max_event_gap_ms=message.patience_ms,
         max_attempts=message.max_attempts,
         keeps_history=message.keeps_history,
         retention_ms=message.retention_ms,
         is_resumable=message.resumable,
-        is_pressed=message.pressed,
+        is_near_limit=message.pressed,
     )
     return call, terms
 
--- a/src/quincespool/gateway/turns/runner.py
+++ b/src/quincespool/gateway/turns/runner.py
@@ -23,11 +23,11 @@
 
     from quincespool.gateway.backends.attempt import Services
     from quincespool.gateway.callers.reply import Reply
-    from quincespool.gateway.model import BackendLife
+    from quincespool.gateway.model import BackendIncarnation
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Refusal
     from quincespool.gateway.model import Turn
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
     from quincespool.gateway.turns.admission import ProgramAdmission
     from quincespool.gateway.turns.finder import TurnFinder
     from quincespool.gateway.turns.partition import OwnedPartition
@@ -66,7 +66,7 @@
         self._run_services = TurnServices(
             services, RecordServices(settle_elsewhere, store_reachable, self._settling), admission
         )
-        self._last_engine: dict[str, BackendLife] = {}
+        self._last_engine: dict[str, BackendIncarnation] = {}
 
     @property
     def settling(self) -> int:
@@ -74,7 +74,13 @@
         return len(self._settling)
 
     async def run(
-        self, call: Call, terms: TurnTerms, owned: OwnedPartition, reply: Reply, *, until_ms: int
+        self,
+        call: Call,
+        terms: TurnParameters,
+        owned: OwnedPartition,
+        reply: Reply,
+        *,
+        until_ms: int,
     ) -> None:
         """Answers one turn.
 
@@ -127,7 +133,7 @@
         self._admission.learn()
 
     async def _import(
-        self, call: Call, turn: Turn, terms: TurnTerms, owned: OwnedPartition
+        self, call: Call, turn: Turn, terms: TurnParameters, owned: OwnedPartition
     ) -> Refusal | None:
         """Brings the history of another program's turn here, so that this program can go on."""
         found = await self._finder.find(turn.previous_id, terms.account)
@@ -154,7 +160,7 @@
         refusal = self._admit(call, turn, owned, is_patient=False)
         return None if refusal is None else await _confirmed(refusal, owned)
 
-    def _remember(self, program_id: str, engine: BackendLife | None) -> None:
+    def _remember(self, program_id: str, engine: BackendIncarnation | None) -> None:
         if engine is not None:
             self._last_engine.pop(program_id, None)
             self._last_engine[program_id] = engine
@@ -163,7 +169,7 @@
         self, call: Call, turn: Turn, owned: OwnedPartition, *, is_patient: bool
     ) -> Refusal | None:
         reachable = self._store_reachable()
-        may_begin = owned.uncertain.may_begin(turn.program_id, turn.most_tokens)
+        may_begin = owned.uncertain.may_begin(turn.program_id, turn.max_tokens)
         if (owned.stalled or not reachable) and (is_patient or not may_begin):
             # Another daemon, which the store may serve, is told apart whether this one is turned
             # away, and loses the partition soon, or only its appends are not answered.
@@ -173,7 +179,7 @@
             program_id=turn.program_id,
             previous_id=turn.previous_id,
             budget_tokens=turn.budget_tokens,
-            most_tokens=turn.most_tokens,
+            most_tokens=turn.max_tokens,
         )
         if admission is Admission.FINE:
             return None
@@ -185,7 +191,7 @@
             admission=admission.value,
             previous_id=turn.previous_id,
             budget_tokens=turn.budget_tokens,
-            most_tokens=turn.most_tokens,
+            most_tokens=turn.max_tokens,
             spent_tokens=program.spent_tokens if program is not None else 0,
             reserved_tokens=sum(program.reserved.values()) if program is not None else 0,
             epoch=owned.epoch,
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -24,7 +24,7 @@
 
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Refusal
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
     from quincespool.gateway.store.interface import Partition
     from quincespool.gateway.turns.ledger import Record
     from quincespool.gateway.turns.partition import OwnedPartition
@@ -85,7 +85,7 @@
     """
 
     def __init__(
-        self, services: RecordServices, call: Call, terms: TurnTerms, owned: OwnedPartition
+        self, services: RecordServices, call: Call, terms: TurnParameters, owned: OwnedPartition
     ) -> None:
         turn = call.turn
         assert turn is not None
@@ -95,12 +95,12 @@
         self._turn = turn
         self._terms = terms
         self._owned = owned
-        told_ms = max(LEAST_PATIENCE_MS, terms.patience_ms)
+        told_ms = max(LEAST_PATIENCE_MS, terms.max_event_gap_ms)
         self._patience_ms = told_ms - PATIENCE_MARGIN_MS
         self._start = TurnStarted(
             turn_id=call.call_id,
             program_id=turn.program_id,
-            most_tokens=turn.most_tokens,
+            most_tokens=turn.max_tokens,
             at_ms=wall_ms(),
             retention_ms=terms.retention_ms,
         )
@@ -136,7 +136,7 @@
         """Counts events that go to the caller next; waits if the bound asks for a durable start."""
         tokens = events * self._terms.tokens_per_event
         if not self._start_is_kept:
-            program_id, most_tokens = self._turn.program_id, self._turn.most_tokens
+            program_id, most_tokens = self._turn.program_id, self._turn.max_tokens
             if not self._owned.uncertain.hand_out(program_id, tokens, most_tokens):
                 if self._owned.stalled or not self._services.store_reachable():
                     raise BrokenTurnError(may_have_run(STORE_AWAY))
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -31,14 +31,14 @@
     from quincespool.gateway.backends.attempt import Services
     from quincespool.gateway.callers.reply import Reply
     from quincespool.gateway.model import BackendEntry
-    from quincespool.gateway.model import BackendLife
+    from quincespool.gateway.model import BackendIncarnation
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Refusal
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
+    from quincespool.gateway.platform_codec import AnswerHead
     from quincespool.gateway.turns.admission import ProgramAdmission
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.gateway.turns.turn_records import RecordServices
-    from quincespool.gateway.wire import AnswerHead
 
 # A queue on an engine moves by one turn in some tens of milliseconds.
 FULL_RETRY_MS = 250
@@ -72,12 +72,12 @@
         self,
         services: TurnServices,
         call: Call,
-        terms: TurnTerms,
+        terms: TurnParameters,
         owned: OwnedPartition,
         *,
         reply: Reply,
         until_ms: int,
-        engine: BackendLife | None,
+        engine: BackendIncarnation | None,
     ) -> None:
         turn = call.turn
         assert turn is not None
@@ -136,7 +136,7 @@
 
     async def _attempt_if_usable(self, entry: BackendEntry) -> NotRun | Lost | None:
         """Sends the turn, unless the engine has begun to leave since it was chosen."""
-        if not self._services.backends.is_usable(entry.life):
+        if not self._services.backends.is_usable(entry.incarnation):
             return NotRun("backend_gone", sent=False)
         return await self._attempt(entry)
 
@@ -203,7 +203,7 @@
                 return head
             if isinstance(head, Lost):
                 return head
-            self.engine = entry.life
+            self.engine = entry.incarnation
             if not had_run:
                 self._admission.note_begin(self._terms, now_ms() - self._began_ms)
             return await self._relay(attempt, head)
--- a/src/quincespool/platform/entries.py
+++ b/src/quincespool/platform/entries.py
@@ -16,7 +16,7 @@
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.model import Route
 from quincespool.gateway.model import Service
-from quincespool.gateway.model import Share
+from quincespool.gateway.model import WeightedService
 from quincespool.gateway.model import digest_key
 from quincespool.settings import address_fault
 
@@ -128,8 +128,8 @@
         limits=CallerLimits(
             max_head_bytes=config.limits.max_header_bytes,
             max_body_bytes=config.limits.max_body_bytes,
-            head_ms=int(config.limits.header_timeout_ms),
-            idle_ms=int(config.limits.idle_timeout_ms),
+            head_timeout_ms=int(config.limits.header_timeout_ms),
+            idle_timeout_ms=int(config.limits.idle_timeout_ms),
         ),
         accounts=None if config.tenants is None else _accounts(config.tenants),
     )
@@ -182,15 +182,15 @@
 
 
 def _route(route: _Route) -> Route:
-    shares = tuple(Share(item.service, item.weight) for item in route.weighted_backends)
+    shares = tuple(WeightedService(item.service, item.weight) for item in route.weighted_backends)
     return Route(
         name=route.name,
         host=route.hostname.lower(),
         path_prefix=route.path_prefix,
         kind=CallKind(route.kind),
-        shares=shares or (Share(route.service, 1),),
+        weighted_services=shares or (WeightedService(route.service, 1),),
         timeout_ms=int(route.timeout_ms),
-        patience_ms=_patience_ms(route),
+        max_event_gap_ms=_patience_ms(route),
         rank=route.priority,
         max_attempts=max(1, route.max_attempts),
         keeps_history=route.retain_context,
--- a/src/quincespool/platform/requests.py
+++ b/src/quincespool/platform/requests.py
@@ -16,8 +16,8 @@
 from quincespool.gateway.model import Refusal
 from quincespool.gateway.model import Turn
 from quincespool.gateway.model import digest_key
-from quincespool.gateway.wire import AddressQuestion
-from quincespool.gateway.wire import AnswerHead
+from quincespool.gateway.platform_codec import AddressQuestion
+from quincespool.gateway.platform_codec import AnswerHead
 from quincespool.net.requests import RequestError
 
 if TYPE_CHECKING:
@@ -197,7 +197,7 @@
             program_id=program_id,
             previous_id=headers.get("previous-turn", ""),
             budget_tokens=None if budget_text is None else int(budget_text),
-            most_tokens=int(most_text),
+            max_tokens=int(most_text),
             program_left_ms=None if left_text is None else int(left_text),
         )
     )
--- a/src/quincespool/platform/wire.py
+++ b/src/quincespool/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's encoding as one module; satisfies `quincespool.gateway.wire.Wire`."""
+"""The platform's encoding as one module; satisfies `gateway.platform_codec.PlatformCodec`."""
 
 from __future__ import annotations
 
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -185,7 +185,7 @@
         told: list[bool] = []
         for node in cluster.nodes.values():
             admission = node.daemon._parts.admission
-            admission.refuse = lambda _, terms, __: told.append(terms.is_pressed)  # type: ignore[assignment,method-assign]
+            admission.refuse = lambda _, terms, __: told.append(terms.is_near_limit)  # type: ignore[assignment,method-assign]
         await cluster.turn("a", "north-1", key="k")
         await _calls(cluster, "ab", BURST - 8)
         await cluster.turn("a", "north-1", key="k")
--- a/tests/gateway/backends/test_engine_lives.py
+++ b/tests/gateway/backends/test_engine_lives.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincespool.gateway.model import BackendLife
+from quincespool.gateway.model import BackendIncarnation
 from tests.gateway.gateway_cluster import GatewayCluster
 from tests.support.client import ConnectionLostError
 from tests.support.platform_entries import make_backend_entry
@@ -46,7 +46,7 @@
                 _, reply = await turn
                 assert reply.status == 502
         assert len(cluster.runs("t1")) == 1
-        assert backends.entries["e1"].life == BackendLife("e1", 2_000)
+        assert backends.entries["e1"].incarnation == BackendIncarnation("e1", 2_000)
         cluster.engines["e1"].knobs.gap_ms = 1
         _, reply = await cluster.turn("a", "p1")
         assert reply.status == 200
--- a/tests/gateway/backends/test_table.py
+++ b/tests/gateway/backends/test_table.py
@@ -9,7 +9,7 @@
 from quincespool.gateway.backends.table import Backends
 from quincespool.gateway.backends.table import EntryNews
 from quincespool.gateway.model import BackendEntry
-from quincespool.gateway.model import BackendLife
+from quincespool.gateway.model import BackendIncarnation
 from quincespool.policy.outliers import FAILURES_TO_EJECT
 from quincespool.policy.placement import AFFINITY_SLACK
 
@@ -24,7 +24,7 @@
 
 
 def _choose(backends: Backends, now_ms: int = 0, prefer: str = "") -> str:
-    life = BackendLife(prefer, None) if prefer else None
+    life = BackendIncarnation(prefer, None) if prefer else None
     entry = backends.choose("model", now_ms=now_ms, prefer=life)
     return entry.backend_id if entry is not None else ""
 
@@ -153,13 +153,13 @@
 
     assert backends.put(_entry(2_000)) is EntryNews.NEW_LIFE
     assert _choose(backends) == "e1"
-    busy = backends.choose("model", now_ms=0, prefer=BackendLife("e1", 1_000))
+    busy = backends.choose("model", now_ms=0, prefer=BackendIncarnation("e1", 1_000))
     assert busy is not None
     for _ in range(2):
         backends.started("e1")
-    chosen = backends.choose("model", now_ms=0, prefer=BackendLife("e1", 2_000))
+    chosen = backends.choose("model", now_ms=0, prefer=BackendIncarnation("e1", 2_000))
     assert chosen is not None
-    assert chosen.life == BackendLife("e1", 2_000)
+    assert chosen.incarnation == BackendIncarnation("e1", 2_000)
 
 
 @settings(derandomize=True, deadline=None)
@@ -238,11 +238,11 @@
         backends.started(one)
     assert _choose(backends) == "e1"
     for reporter in ("a", "b", "a"):
-        backends.note_failure(BackendLife("e1", 1_000), reporter, 0)
+        backends.note_failure(BackendIncarnation("e1", 1_000), reporter, 0)
     assert _choose(backends) != "e1"
 
     backends.put(_entry(2_000))
     assert _choose(backends) == "e1"
     for reporter in ("a", "b", "a"):
-        assert backends.note_failure(BackendLife("e1", 1_000), reporter, 0) is None
+        assert backends.note_failure(BackendIncarnation("e1", 1_000), reporter, 0) is None
     assert _choose(backends) == "e1"
--- a/tests/gateway/callers/test_routes.py
+++ b/tests/gateway/callers/test_routes.py
@@ -13,12 +13,12 @@
 from quincespool.gateway.model import Configuration
 from quincespool.gateway.model import Route
 from quincespool.gateway.model import Service
-from quincespool.gateway.model import Share
+from quincespool.gateway.model import WeightedService
 from quincespool.gateway.model import digest_key
 from quincespool.policy.urgency import Rank
 
 
-def _route(prefix: str, *shares: Share) -> Route:
+def _route(prefix: str, *shares: WeightedService) -> Route:
     return Route(prefix, "h", prefix, CallKind.IDEMPOTENT, shares, 1000, 100, 1, 1, False, 0)
 
 
@@ -44,7 +44,7 @@
 
 def test_a_key_tells_the_account() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    route = _route("/a/", Share("s", 1))
+    route = _route("/a/", WeightedService("s", 1))
     table.adopt(_with_accounts(1, {"k1": "ranked", "k2": "plain"}, route))
 
     ranked, plain = table.decide(_call_with("k1")).ok, table.decide(_call_with("k2")).ok
@@ -57,7 +57,7 @@
 
 def test_a_public_route_needs_no_key_and_tells_no_account() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    public = _route("/a/", Share("s", 1))._replace(is_public=True)
+    public = _route("/a/", WeightedService("s", 1))._replace(is_public=True)
     table.adopt(_with_accounts(1, {"k1": "ranked"}, public))
 
     for key in ("", "k1", "k3"):
@@ -66,7 +66,7 @@
 
 def test_a_key_that_is_taken_away_is_refused_from_then_on() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    route = _route("/a/", Share("s", 1))
+    route = _route("/a/", WeightedService("s", 1))
     table.adopt(_with_accounts(2, {"k2": "plain"}, route))
     assert not table.adopt(_with_accounts(1, {"k1": "ranked", "k2": "plain"}, route))
 
@@ -76,7 +76,11 @@
 
 def test_the_longest_prefix_wins() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    table.adopt(_configuration(1, _route("/a/", Share("s", 1)), _route("/a/b/", Share("t", 1))))
+    table.adopt(
+        _configuration(
+            1, _route("/a/", WeightedService("s", 1)), _route("/a/b/", WeightedService("t", 1))
+        )
+    )
 
     assert table.decide(_call("/a/x")).ok.service.name == "s"
     assert table.decide(_call("/a/b/x")).ok.service.name == "t"
@@ -108,9 +112,9 @@
 
 def test_a_configuration_never_goes_back() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    assert table.adopt(_configuration(7, _route("/new/", Share("s", 1))))
-    assert not table.adopt(_configuration(5, _route("/old/", Share("s", 1))))
-    assert not table.adopt(_configuration(7, _route("/old/", Share("s", 1))))
+    assert table.adopt(_configuration(7, _route("/new/", WeightedService("s", 1))))
+    assert not table.adopt(_configuration(5, _route("/old/", WeightedService("s", 1))))
+    assert not table.adopt(_configuration(7, _route("/old/", WeightedService("s", 1))))
 
     assert table.decide(_call("/new/")).is_ok()
     assert table.decide(_call("/old/")).is_error()
@@ -118,7 +122,9 @@
 
 def test_shares_are_drawn_by_weight() -> None:
     table = RouteTable(store_prompt=lambda: True)
-    table.adopt(_configuration(1, _route("/a/", Share("s", 90), Share("t", 10))))
+    table.adopt(
+        _configuration(1, _route("/a/", WeightedService("s", 90), WeightedService("t", 10)))
+    )
     drawn = [table.decide(_call("/a/", f"c{n}")).ok.service.name for n in range(2_000)]
 
     assert 120 < drawn.count("t") < 280
--- a/tests/gateway/callers/test_unanswered.py
+++ b/tests/gateway/callers/test_unanswered.py
@@ -18,7 +18,7 @@
     from quincespool.gateway.callers.reply import Reply
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Decision
-    from quincespool.gateway.model import TurnTerms
+    from quincespool.gateway.model import TurnParameters
 
 
 def _lines(caplog: pytest.LogCaptureFixture, message: str) -> list[dict[str, object]]:
@@ -101,7 +101,9 @@
         daemon = cluster.nodes["a"].daemon
         run = daemon._parts.relay.run
 
-        async def run_and_end(call: Call, terms: TurnTerms, reply: Reply, *, until_ms: int) -> str:
+        async def run_and_end(
+            call: Call, terms: TurnParameters, reply: Reply, *, until_ms: int
+        ) -> str:
             await run(call, terms, reply, until_ms=until_ms)
             raise asyncio.CancelledError
 
--- a/tests/gateway/store/test_hedged_calls.py
+++ b/tests/gateway/store/test_hedged_calls.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from quincespool.gateway.store.hedged_calls import MAX_COPIES
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.hedged_requests import MAX_COPIES
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.store.interface import FencedError
 from quincespool.gateway.store.interface import StoreError
 
@@ -52,8 +52,8 @@
     raise FencedError
 
 
-def _make_hedged() -> HedgedCalls:
-    return HedgedCalls(on_hedge=lambda: None)
+def _make_hedged() -> HedgedRequests:
+    return HedgedRequests(on_hedge=lambda: None)
 
 
 async def test_a_lost_answer_is_made_up_for_by_another_copy() -> None:
@@ -63,7 +63,7 @@
     Cause: the next copy was sent only when the time limit of the first one had run out.
     """
     script = _Script(_silence, _answer)
-    assert await _make_hedged().first(script.call) == "done"
+    assert await _make_hedged().first_answer(script.call) == "done"
     assert script.sent == 2
     await asyncio.sleep(0)
     assert script.open == 0
@@ -73,7 +73,7 @@
     script = _Script()
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.3):
-            await _make_hedged().first(script.call)
+            await _make_hedged().first_answer(script.call)
     assert script.sent == MAX_COPIES
 
 
@@ -86,7 +86,7 @@
     hedged = _make_hedged()
     hedged.times.mean_ms = 10_000.0
     script = _Script(_silence, _answer)
-    running = asyncio.create_task(hedged.first(script.call))
+    running = asyncio.create_task(hedged.first_answer(script.call))
     await asyncio.sleep(0.01)
     assert script.sent == 1
     hedged.wake()
@@ -102,7 +102,7 @@
     """
     hedged = _make_hedged()
     script = _Script(_silence, _silence, _silence, _answer)
-    running = asyncio.create_task(hedged.first(script.call))
+    running = asyncio.create_task(hedged.first_answer(script.call))
     async with asyncio.timeout(2.0):
         while script.sent < MAX_COPIES:
             await asyncio.sleep(0.01)
@@ -114,7 +114,7 @@
 async def test_a_refusal_is_told_when_no_copy_is_left() -> None:
     script = _Script(_refuse)
     with pytest.raises(StoreError):
-        await _make_hedged().first(script.call)
+        await _make_hedged().first_answer(script.call)
     assert script.sent == 1
 
 
@@ -124,14 +124,14 @@
         return "late"
 
     script = _Script(answer_late, _refuse)
-    assert await _make_hedged().first(script.call) == "late"
+    assert await _make_hedged().first_answer(script.call) == "late"
     assert script.sent <= MAX_COPIES
 
 
 async def test_a_final_refusal_is_told_at_once() -> None:
     script = _Script(_silence, _fence)
     with pytest.raises(FencedError):
-        await _make_hedged().first(script.call)
+        await _make_hedged().first_answer(script.call)
 
 
 async def test_a_pause_ends_when_the_store_is_back() -> None:
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -14,7 +14,7 @@
 from typing import TypeVar
 from typing import cast
 
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.store.interface import ExpiredError
 from quincespool.gateway.store.interface import FencedError
 from quincespool.gateway.store.interface import Page
@@ -161,7 +161,7 @@
 
 
 class _SingleCalls:
-    """Sends each request once, in the place of `HedgedCalls`."""
+    """Sends each request once, in the place of `HedgedRequests`."""
 
     async def first(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
         return await call()
@@ -201,7 +201,7 @@
         self._turns: set[asyncio.Task[None]] = set()
         self._broken: BaseException | None = None
         self._hedges = hedges
-        self._hedged: HedgedCalls | _SingleCalls
+        self._hedged: HedgedRequests | _SingleCalls
         self._turn_count = 0
         self._round = 0
         self._handed_out: dict[str, int] = {}
@@ -213,7 +213,7 @@
         Raises:
           AssertionError: if a promise is broken.
         """
-        self._hedged = HedgedCalls(on_hedge=lambda: None) if self._hedges else _SingleCalls()
+        self._hedged = HedgedRequests(on_hedge=lambda: None) if self._hedges else _SingleCalls()
         while self.steps < steps:
             self.steps += 1
             self._step()
@@ -246,7 +246,7 @@
             PARTITION,
             epoch=self._epoch,
             store=cast("Store", self._store),
-            hedged=cast("HedgedCalls", self._hedged),
+            hedged=cast("HedgedRequests", self._hedged),
             on_change=lambda owned, detail: None,
         )
         self._owners.append(owned)
--- a/tests/gateway/turns/test_admission.py
+++ b/tests/gateway/turns/test_admission.py
@@ -8,7 +8,7 @@
 
 from quincespool.gateway.model import Call
 from quincespool.gateway.model import Turn
-from quincespool.gateway.model import TurnTerms
+from quincespool.gateway.model import TurnParameters
 from quincespool.gateway.turns.admission import make_admission
 from quincespool.gateway.turns.ledger import Ledger
 from quincespool.gateway.turns.ledger import TurnStarted
@@ -16,7 +16,7 @@
 from quincespool.policy.urgency import Rank
 from quincespool.verdict import Verdict
 
-TERMS = TurnTerms(
+TERMS = TurnParameters(
     version=1,
     account="",
     route="r",
@@ -24,12 +24,12 @@
     tokens_per_event=1,
     rank=Rank(),
     timeout_ms=3_000,
-    patience_ms=2_000,
+    max_event_gap_ms=2_000,
     max_attempts=1,
     keeps_history=False,
     retention_ms=60_000,
     is_resumable=False,
-    is_pressed=False,
+    is_near_limit=False,
 )
 
 
--- a/tests/gateway/turns/test_lost_histories.py
+++ b/tests/gateway/turns/test_lost_histories.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincespool.gateway import upkeep
+from quincespool.gateway import maintenance
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.clock import wall_ms
 from quincespool.gateway.turns.ledger import Admission
@@ -180,7 +180,7 @@
 async def test_a_store_without_room_gets_some_by_trimming_and_loses_nothing_needed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upkeep, "LEDGER_GRACE_MS", 0)
+    monkeypatch.setattr(maintenance, "LEDGER_GRACE_MS", 0)
     async with GatewayCluster() as cluster:
         owned = _owned(cluster, "p1")
         await asyncio.gather(*[owned.keep(_old_turn(number)) for number in range(5)])
@@ -218,7 +218,7 @@
 ) -> None:
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
-        monkeypatch.setattr(upkeep, "wall_ms", lambda: wall_ms() + 100_000)
+        monkeypatch.setattr(maintenance, "wall_ms", lambda: wall_ms() + 100_000)
         await asyncio.sleep(2.5)
         _, reply = await cluster.turn("b", "p1", previous=first)
         assert reply.status == 200
--- a/tests/gateway/turns/test_ownership.py
+++ b/tests/gateway/turns/test_ownership.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.turns.ownership import Ownership
 from quincespool.platform.store import PlatformStore
 from tests.support.standins.platform_store import make_platform_store
@@ -31,7 +31,7 @@
         topics=TOPICS,
         lease_ms=LEASE_MS,
         store=store,
-        hedged=HedgedCalls(on_hedge=lambda: None),
+        hedged=HedgedRequests(on_hedge=lambda: None),
         store_reachable=lambda: True,
         on_change=forget_lost,
         on_assignment=lambda generation, count: None,
--- a/tests/gateway/turns/test_partition.py
+++ b/tests/gateway/turns/test_partition.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.turns.ledger import TurnStarted
 from quincespool.gateway.turns.partition import OwnedPartition
@@ -37,7 +37,7 @@
         PARTITION,
         epoch=epoch,
         store=_client(store),
-        hedged=HedgedCalls(on_hedge=lambda: None),
+        hedged=HedgedRequests(on_hedge=lambda: None),
         on_change=lambda owned, detail: None,
     )
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -12,7 +12,7 @@
 from quincespool.gateway.model import Accounts
 from quincespool.gateway.model import CallKind
 from quincespool.gateway.model import Daemon
-from quincespool.gateway.model import Share
+from quincespool.gateway.model import WeightedService
 from quincespool.gateway.model import digest_key
 from quincespool.platform.entries import read_backend
 from quincespool.platform.entries import read_configuration
@@ -83,9 +83,12 @@
         True,
     )
     assert first.retention_ms == 60_000
-    assert first.patience_ms == 2_000
-    assert first.shares == (Share("huvo11a", 1),)
-    assert second.shares == (Share("huvo11a", 90), Share("wuno96b", 10))
+    assert first.max_event_gap_ms == 2_000
+    assert first.weighted_services == (WeightedService("huvo11a", 1),)
+    assert second.weighted_services == (
+        WeightedService("huvo11a", 90),
+        WeightedService("wuno96b", 10),
+    )
     assert configuration.services["huvo11a"].tokens_per_event == 9
     assert configuration.services["wuno96b"].tokens_per_event == 0
     assert configuration.limits.max_head_bytes == 16_384
@@ -106,7 +109,7 @@
         b'"target_latency_ms":250', f'"target_latency_ms":{latency}'.encode()
     )
     changed = changed.replace(b'"target_gap_ms":200', f'"target_gap_ms":{gap}'.encode())
-    assert read_configuration(changed).routes[0].patience_ms == patience_ms
+    assert read_configuration(changed).routes[0].max_event_gap_ms == patience_ms
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"version":"7"}', CONFIGURATION[:-9]])
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -39,7 +39,7 @@
     assert (call.call_id, call.host, call.left_ms) == ("e5b2907c14da6f38", "ficu95.example", 4000)
     assert call.turn is not None
     assert call.turn.previous_id == "40c8f1a7b3e9265d"
-    assert (call.turn.budget_tokens, call.turn.most_tokens) == (2304, 288)
+    assert (call.turn.budget_tokens, call.turn.max_tokens) == (2304, 288)
     assert call.turn.program_left_ms == 5200
 
 
