--- a/src/quincespool/gateway/__init__.py
+++ b/src/quincespool/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: serves programs whose callers name each turn that they continue."""
+"""The gateway: serves model calls that name the turn of their program that they continue."""
--- a/src/quincespool/gateway/accounts/limits.py
+++ b/src/quincespool/gateway/accounts/limits.py
@@ -19,7 +19,7 @@
 from quincespool.gateway.accounts.permit_codec import write_question
 from quincespool.gateway.accounts.permit_codec import write_verdict
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.messages import PermitAnswer
 from quincespool.gateway.members.messages import PermitQuestion
 from quincespool.gateway.members.messages import PermitReturn
@@ -206,7 +206,7 @@
         if isinstance(home, Term):
             self._home.give_back(account.name, self._allowance(account))
         elif home is not None:
-            start_kept(self._return_to(home, account.name), self._returning)
+            start_background_task(self._return_to(home, account.name), self._returning)
 
     def on_message(self, link: Link, message: Any) -> None:
         """Takes a question or an answer of another daemon."""
--- a/src/quincespool/gateway/backends/attempt.py
+++ b/src/quincespool/gateway/backends/attempt.py
@@ -14,7 +14,7 @@
 from quincespool.gateway.backends.exchange import Head
 from quincespool.gateway.backends.exchange import Piece
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -246,7 +246,7 @@
         )
         # One that leaves ends by itself with whatever is there, which is no crash.
         if event.closed and services.backends.is_usable(entry.incarnation):
-            start_kept(self._check_crash(), _checks)
+            start_background_task(self._check_crash(), _checks)
         return Lost(event.detail)
 
     def _blame(self, reason: str, *, unreachable: bool = False) -> bool:
--- a/src/quincespool/gateway/callers/http_port.py
+++ b/src/quincespool/gateway/callers/http_port.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from quincespool.gateway.futures import report_fault
+from quincespool.gateway.futures import report_exception
 from quincespool.net.body_memory import BodyMemory
 from quincespool.net.http_connection import Connection
 from quincespool.net.http_connection import ConnectionLimits
@@ -145,5 +145,5 @@
             return
         error = task.exception()
         if error is not None:
-            report_fault("request failed", error)
+            report_exception("request failed", error)
             connection.fail(request, self._handler.failed(request))
--- a/src/quincespool/gateway/callers/side_ports.py
+++ b/src/quincespool/gateway/callers/side_ports.py
@@ -55,9 +55,9 @@
         return HttpResponse(500, _JSON, msgspec.json.encode({"error": "internal error"}))
 
     def _answer(self, request: HttpRequest) -> HttpResponse:
-        if self._wire.is_readiness_question(request):
+        if self._wire.is_readiness_request(request):
             return HttpResponse(200 if self._is_ready() else 503, [], b"")
-        question = self._wire.read_address_question(request)
+        question = self._wire.read_address_request(request)
         if question is not None:
             addresses = self._addresses(question.zone)
             if not addresses:
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""A gateway daemon: its parts, its start and its planned stop."""
+"""The gateway daemon: creates its components, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from quincespool.gateway.callers.routes import RouteTable
 from quincespool.gateway.callers.side_ports import SidePorts
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import keep_running
+from quincespool.gateway.futures import run_with_restarts
 from quincespool.gateway.live_settings import LiveSettings
 from quincespool.gateway.maintenance import MaintenanceTasks
 from quincespool.gateway.members.presence import Presence
@@ -55,7 +55,7 @@
 
 
 class GatewayDaemon:
-    """One daemon.
+    """One gateway daemon with all its components.
 
     Attributes:
       stopped: Set when a planned stop is complete.
@@ -67,45 +67,45 @@
         *,
         load_settings: Callable[[], GatewaySettings],
         make_store: Callable[[Callable[[str, str], None]], Store],
-        wire: PlatformCodec,
+        codec: PlatformCodec,
         log: DecisionLog,
     ) -> None:
         self._settings = settings
-        self._live = LiveSettings(settings, load=load_settings, log=log)
-        self._wire = wire
+        self._live_settings = LiveSettings(settings, load=load_settings, log=log)
+        self._codec = codec
         self._log = log
         self._incarnation = time.time_ns() // 1_000
         self.stopped = asyncio.Event()
         self._tasks: list[asyncio.Task[Any]] = []
         self._ticker = Ticker()
         self._metrics = Metrics()
-        self._hedged = HedgedRequests(
+        self._hedged_requests = HedgedRequests(
             on_hedge=lambda: self._metrics.count("gateway_store_hedges_total")
         )
-        self._store_health = StoreHealth(log, now_ms, on_return=self._hedged.wake)
-        self._store = make_store(self._note_store_call)
-        self._make_beliefs()
-        self._make_program_parts()
+        self._store_health = StoreHealth(log, now_ms, on_recovery=self._hedged_requests.resend_all)
+        self._store = make_store(self._record_store_call)
+        self._make_cluster_view()
+        self._make_program_components()
         self._make_ports()
-        self._watch()
+        self._register_gauges()
 
     async def run(self) -> None:
-        """Serves until SIGTERM, then stops as planned.
+        """Serves until SIGTERM or SIGINT, then shuts down gracefully; SIGHUP reloads the settings.
 
         Raises:
-          OSError: if a port cannot be had.
+          OSError: If a port cannot be bound.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.begin_stop)
-        loop.add_signal_handler(signal.SIGHUP, self._live.reload)
+        loop.add_signal_handler(signal.SIGHUP, self._live_settings.reload)
         await self.start()
         await self.stopped.wait()
         await self.close()
 
-    def _make_beliefs(self) -> None:
+    def _make_cluster_view(self) -> None:
         settings = self._settings
-        self._routes = RouteTable(store_prompt=lambda: self._store_health.is_prompt)
+        self._routes = RouteTable(store_prompt=lambda: self._store_health.is_responsive)
         self._backends = Backends(zone=settings.zone, seed=self._incarnation)
         self._pool = ConnectionPool(
             on_open=lambda: self._metrics.count("gateway_backend_connections_total")
@@ -117,56 +117,56 @@
             backends=self._backends,
             log=self._log,
             metrics=self._metrics,
-            send=self._tell_report,
+            send=self._send_backend_report,
         )
-        self._services = Services(
+        self._attempt_context = Services(
             self._backends,
             self._pool,
-            self._wire,
+            self._codec,
             self._log,
             self._metrics,
             self._crashes,
-            self._tell_crash,
+            self._announce_crash,
             self._backend_reports,
         )
-        self._beliefs = ClusterView(
+        self._cluster_view = ClusterView(
             member_id=settings.member_id,
             incarnation=self._incarnation,
             store=self._store,
             store_health=self._store_health,
-            wire=self._wire,
+            codec=self._codec,
             routes=self._routes,
             backends=self._backends,
             pool=self._pool,
             members=self._members,
             log=self._log,
             now_ms=now_ms,
-            backends_interval_ms=lambda: self._live.current.backends_interval_ms,
-            on_new_daemon=self._greet,
-            on_newer_configuration=self._ask_for_configuration,
-            on_configuration=self._note_configuration,
+            backends_interval_ms=lambda: self._live_settings.current.backends_interval_ms,
+            on_new_daemon=self._greet_daemon,
+            on_newer_configuration=self._on_newer_configuration,
+            on_configuration=self._on_configuration_adopted,
             on_predecessor=self._release_predecessor,
         )
 
-    def _make_program_parts(self) -> None:
+    def _make_program_components(self) -> None:
         settings = self._settings
-        self._parts = ProgramParts(
+        self._program_components = ProgramParts(
             settings,
             incarnation=self._incarnation,
             store=self._store,
-            hedged=self._hedged,
+            hedged=self._hedged_requests,
             store_health=self._store_health,
-            services=self._services,
+            services=self._attempt_context,
             members=self._members,
             routes=self._routes,
-            beliefs=self._beliefs,
-            on_partition=self._note_partition,
-            on_refused=self._note_refused,
-            has_time_until=self._leaves_time_until,
-            tell_claims=self._tell_claims,
+            beliefs=self._cluster_view,
+            on_partition=self._on_partition_change,
+            on_refused=self._on_peer_refused,
+            has_time_until=self._allows_deadline,
+            tell_claims=self._announce_claims,
         )
-        self._ownership = self._parts.ownership
-        self._links = self._parts.links
+        self._ownership = self._program_components.ownership
+        self._links = self._program_components.links
         self._presence = Presence(
             Daemon(
                 member_id=settings.member_id,
@@ -175,69 +175,69 @@
                 caller_address=settings.caller_address,
                 peer_address=settings.peer_address,
             ),
-            wire=self._wire,
+            wire=self._codec,
             members=self._members,
-            beliefs=self._beliefs,
+            beliefs=self._cluster_view,
             ownership=self._ownership,
-            partition_count=self._parts.partition_count,
+            partition_count=self._program_components.partition_count,
             crashes=self._crashes,
             backend_reports=self._backend_reports,
             log=self._log,
             on_silent=lambda daemon: self._links.doubt(daemon.peer_address),
         )
 
-    # These parts need one another; what they report goes through here.
+    # The components refer to one another in cycles, so their callbacks go through these methods.
 
-    def _tell_crash(self, mark: str, backend_id: str) -> None:
+    def _announce_crash(self, mark: str, backend_id: str) -> None:
         self._presence.tell_crash(mark, backend_id)
 
-    def _tell_report(self, report: BackendReport) -> None:
+    def _send_backend_report(self, report: BackendReport) -> None:
         self._presence.tell_report(report)
 
-    def _greet(self, daemon: Daemon) -> None:
+    def _greet_daemon(self, daemon: Daemon) -> None:
         self._presence.greet(daemon)
 
-    def _note_refused(self, peer_address: str) -> None:
+    def _on_peer_refused(self, peer_address: str) -> None:
         self._presence.note_refused(peer_address)
 
-    def _ask_for_configuration(self, peer_id: str, version: int) -> None:
-        self._parts.copies.heard(peer_id, version)
+    def _on_newer_configuration(self, peer_id: str, version: int) -> None:
+        self._program_components.copies.on_peer_version(peer_id, version)
 
-    def _note_configuration(self) -> None:
-        self._parts.copies.caught_up()
+    def _on_configuration_adopted(self) -> None:
+        self._program_components.copies.on_configuration_adopted()
 
-    def _tell_claims(self) -> None:
+    def _announce_claims(self) -> None:
         self._presence.tell_claims()
 
-    def _leaves_time_until(self, until_ms: int) -> bool:
-        return self._stop.leaves_time_until(until_ms)
+    def _allows_deadline(self, until_ms: int) -> bool:
+        return self._planned_stop.allows_deadline(until_ms)
 
     def _release_predecessor(self, incarnation: int) -> None:
-        """Frees what the process before this one owned; it has not lived to do so itself."""
-        self._spawn(self._ownership.release(self._settings.member_id, incarnation))
+        """Releases the partitions of the previous process, which crashed before it could."""
+        self._start_task(self._ownership.release(self._settings.member_id, incarnation))
 
     def _make_ports(self) -> None:
         settings = self._settings
-        front = Front(
-            self._services,
+        request_handler = Front(
+            self._attempt_context,
             routes=self._routes,
-            limits=self._parts.limits,
-            plain=PlainCalls(self._services),
-            relay=self._parts.relay,
-            has_time_until=self._leaves_time_until,
+            limits=self._program_components.limits,
+            plain=PlainCalls(self._attempt_context),
+            relay=self._program_components.relay,
+            has_time_until=self._allows_deadline,
         )
-        self._front_port = HttpPort(
-            front,
+        self._caller_port = HttpPort(
+            request_handler,
             limits=self._caller_limits,
             max_body_bytes=MAX_BODY_BYTES,
             metrics=self._metrics,
         )
         side = SidePorts(
-            wire=self._wire,
+            wire=self._codec,
             metrics=self._metrics,
             is_ready=self._is_ready,
             addresses=self._caller_addresses,
-            addresses_valid_ms=lambda: self._live.current.addresses_valid_ms,
+            addresses_valid_ms=lambda: self._live_settings.current.addresses_valid_ms,
             dump=self._dump,
         )
         self._side_ports = [
@@ -247,89 +247,89 @@
             for _ in range(3)
         ]
 
-        self._upkeep = MaintenanceTasks(
-            beliefs=self._beliefs,
+        self._maintenance = MaintenanceTasks(
+            cluster_view=self._cluster_view,
             presence=self._presence,
             members=self._members,
             links=self._links,
             ownership=self._ownership,
-            turns=self._parts.turns,
-            quiet_backends=QuietBackends(self._services),
+            turns=self._program_components.turns,
+            quiet_backends=QuietBackends(self._attempt_context),
             renewals=Renewals(
                 store_retention_ms=int(1_000 * settings.store_retention_s), metrics=self._metrics
             ),
             trimming=Trimming(
-                partition_count=self._parts.partition_count,
+                partition_count=self._program_components.partition_count,
                 store_full=lambda: self._store_health.full,
                 metrics=self._metrics,
             ),
         )
-        self._stop = PlannedStop(
+        self._planned_stop = PlannedStop(
             ownership=self._ownership,
             presence=self._presence,
-            front_port=self._front_port,
-            relay=self._parts.relay,
+            caller_port=self._caller_port,
+            relay=self._program_components.relay,
             members=self._members,
-            live=self._live,
+            live_settings=self._live_settings,
             log=self._log,
         )
 
-    def _watch(self) -> None:
-        self._metrics.watch("http_connections", lambda: self._front_port.connection_count)
+    def _register_gauges(self) -> None:
+        self._metrics.watch("http_connections", lambda: self._caller_port.connection_count)
         self._metrics.watch("processor_seconds", time.process_time)
         self._metrics.watch("ready", lambda: float(self._is_ready()))
         self._metrics.watch("gateway_store_full", lambda: float(self._store_health.full))
         self._metrics.watch("gateway_partitions", lambda: len(self._ownership.owned))
 
     async def start(self) -> None:
-        """Binds the ports and begins to follow the store.
+        """Binds the ports and starts the tasks that follow the store.
 
         Raises:
-          OSError: if a port cannot be had.
+          OSError: If a port cannot be bound.
         """
         settings = self._settings
         await self._links.start(settings.host, settings.peer_port)
         await self._presence.start(settings.host, settings.peer_port)
-        await self._front_port.start(*split_address(settings.caller_address))
+        await self._caller_port.start(*split_address(settings.caller_address))
         for port, address in zip(self._side_ports, settings.side_addresses, strict=True):
             await port.start(*split_address(address))
         self._log.write_always("started", incarnation=self._incarnation)
         for part, make_work in (
-            ("configuration", self._beliefs.configuration.run),
-            ("backend entries", self._beliefs.backend_entries.run),
-            ("daemon entries", self._beliefs.daemon_entries.run),
-            ("ownership", self._own_when_complete),
+            ("configuration", self._cluster_view.configuration.run),
+            ("backend entries", self._cluster_view.backend_entries.run),
+            ("daemon entries", self._cluster_view.daemon_entries.run),
+            ("ownership", self._run_ownership_when_routable),
             ("link probes", self._links.probe),
             ("registration", lambda: self._presence.register(self._store)),
         ):
-            self._spawn(keep_running(part, make_work, self._log))
-        self._upkeep.subscribe(self._ticker)
+            self._start_task(run_with_restarts(part, make_work, self._log))
+        self._maintenance.subscribe(self._ticker)
 
-    async def _own_when_complete(self) -> None:
-        """Takes partitions only when calls can be routed.
+    async def _run_ownership_when_routable(self) -> None:
+        """Acquires partitions only once calls can be routed.
 
-        Reading them takes most of the store's bandwidth after a restart of all daemons; one that
-        knows no configuration yet would wait behind the others' histories, up to a second.
+        After a restart of all daemons, reading partitions takes most of the store's bandwidth. A
+        daemon without a configuration would wait for up to a second while the others read theirs.
         """
-        await self._beliefs.until_complete()
+        await self._cluster_view.wait_until_routable()
         await self._ownership.run()
 
     def begin_stop(self) -> None:
-        """Begins a planned stop; `stopped` is set when nothing is under way any more."""
-        if self._stop.begin():
-            self._spawn(self._drain())
+        """Begins a planned stop; `stopped` is set when no requests are in flight any more."""
+        if self._planned_stop.begin():
+            self._start_task(self._drain())
 
     async def _drain(self) -> None:
         try:
-            await self._stop.drain()
+            await self._planned_stop.drain()
         finally:
-            # A fault in the stop must not leave its end to a kill.
+            # If draining fails, the process must still end without being killed.
             self.stopped.set()
 
     async def close(self) -> None:
-        """Closes everything."""
-        self._front_port.stop()
-        self._log.write_always("stopped", under_way=self._stop.under_way)
+        """Closes the ports and the links to other daemons, and cancels all tasks."""
+        self._caller_port.stop()
+        self._log.write_always("stopped", under_way=self._planned_stop.in_flight)
         self._ticker.stop()
         for port in self._side_ports:
             port.stop()
@@ -338,11 +338,11 @@
         for task in self._tasks:
             task.cancel()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
     def _is_ready(self) -> bool:
-        return self._beliefs.complete and not self._presence.draining
+        return self._cluster_view.can_route_calls and not self._presence.draining
 
     def _caller_addresses(self, zone: str) -> list[str]:
         own_serves = self._is_ready()
@@ -352,14 +352,14 @@
         configuration = self._routes.configuration
         if configuration is None:
             return default_limits()
-        self._front_port.max_body_bytes = configuration.limits.max_body_bytes
+        self._caller_port.max_body_bytes = configuration.limits.max_body_bytes
         return connection_limits(configuration.limits)
 
-    def _note_store_call(self, path: str, status: str) -> None:
+    def _record_store_call(self, path: str, status: str) -> None:
         self._metrics.count("gateway_store_calls_total", path=path, status=status)
         self._store_health.record_status(status)
 
-    def _note_partition(self, owned: OwnedPartition, detail: str) -> None:
+    def _on_partition_change(self, owned: OwnedPartition, detail: str) -> None:
         self._log.write("partition", **owned.dump(), lost=owned.lost, detail=detail)
         if owned.lost:
             self._ownership.forget(owned)
@@ -372,9 +372,9 @@
             "incarnation": self._incarnation,
             "draining": self._presence.draining,
             "generation": self._ownership.generation,
-            "account_levels": self._parts.limits.dump(),
+            "account_levels": self._program_components.limits.dump(),
             "engine_slowness": self._backends.slowness(),
-            "turn_waits_ms": self._parts.admission.dump(),
+            "turn_waits_ms": self._program_components.admission.dump(),
             "partitions": [one.dump() for one in self._ownership.owned.values()],
-            **self._beliefs.dump(),
+            **self._cluster_view.dump(),
         }
--- a/src/quincespool/gateway/decision_log.py
+++ b/src/quincespool/gateway/decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON line for each decision, bounded in rate and never waited for."""
+"""The decision log: JSON lines on standard output, rate-limited and written without blocking."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A busy daemon takes about fifty calls a second at a few lines each; more than this says nothing
-# that the counters do not say, and costs processor time that calls need.
+# A busy daemon handles about fifty calls per second and writes a few lines for each. More lines
+# than this would add nothing to the metrics and would use processor time that calls need.
 LINES_PER_S = 300
 BURST_LINES = 600
 MAX_UNSENT_BYTES = 65_536
 
 
 class DroppingHandler(logging.Handler):
-    """Writes lines to a descriptor that does not block; drops what does not fit.
+    """Writes lines to a non-blocking file descriptor and drops those that do not fit the buffer.
 
-    A reader that stops reading would otherwise stop the whole daemon at its next line: it would
-    neither answer nor renew leases, with nothing in the log.
+    With blocking writes, a reader that stops reading would stall the whole daemon at its next line:
+    the daemon would neither answer calls nor renew leases, and nothing in the log would show it.
+
+    Attributes:
+      dropped: Number of lines that were dropped.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -35,7 +38,7 @@
         self._unsent = b""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a line or counts it as dropped."""
+        """Writes a record as one line, or counts it as dropped."""
         if len(self._unsent) > MAX_UNSENT_BYTES:
             self.dropped += 1
         else:
@@ -45,7 +48,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; the daemon serves on without a log.
+            # The reader has closed its end; the daemon continues without a log.
             self._unsent = b""
             self.dropped += 1
             return
@@ -53,7 +56,11 @@
 
 
 def configure_decision_log(level: str, member_id: str, zone: str) -> DroppingHandler:
-    """Sends all log records of the process to standard output."""
+    """Directs all log records of the process to standard output.
+
+    Returns:
+      The handler that writes them.
+    """
     handler = DroppingHandler(sys.stdout.fileno())
     handler.setFormatter(make_formatter(member_id, zone))
     root = logging.getLogger()
@@ -63,30 +70,33 @@
 
 
 class DecisionLog:
-    """Writes decisions at a bounded rate; how many were left out is told by a later line."""
+    """Writes log lines at a limited rate; a later line reports how many were dropped."""
 
     def __init__(self, now_s: Callable[[], float]) -> None:
         self._now_s = now_s
         self._tokens = float(BURST_LINES)
         self._refilled_s = now_s()
-        self._left_out = 0
+        self._dropped_lines = 0
 
     def write(self, message: str, **fields: object) -> None:
-        """Writes a line on a decision about a call; left out beyond the bound."""
+        """Writes a line, or drops it if the rate limit is exceeded."""
         if self._take_token():
-            self._flush_left_out()
+            self._report_dropped_lines()
             write_line("info", message, fields)
         else:
-            self._left_out += 1
+            self._dropped_lines += 1
 
     def write_always(self, message: str, **fields: object) -> None:
-        """Writes a line that must not be missed: start, stop, a dependency lost or regained."""
+        """Writes a line regardless of the rate limit, such as on start, stop or loss of the store.
+
+        Meant for rare lines that operators must not miss.
+        """
         write_line("warning", message, fields)
 
-    def _flush_left_out(self) -> None:
-        if self._left_out:
-            write_line("warning", "lines left out", {"lines": self._left_out})
-            self._left_out = 0
+    def _report_dropped_lines(self) -> None:
+        if self._dropped_lines:
+            write_line("warning", "lines left out", {"lines": self._dropped_lines})
+            self._dropped_lines = 0
 
     def _take_token(self) -> bool:
         now_s = self._now_s()
--- a/src/quincespool/gateway/first_seen.py
+++ b/src/quincespool/gateway/first_seen.py
@@ -1,4 +1,4 @@
-"""How long a daemon has known a value, by its steady clock."""
+"""The age of values, measured by this daemon's steady clock from when it first saw them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,28 @@
 
 
 class FirstSeen:
-    """Tells the age of values that carry another host's time of day, whatever clocks do since."""
+    """Measures how long values have been known, independent of changes to any host's time of day.
+
+    The values are times of day of another host, whose clock cannot be compared with this one's.
+    """
 
     def __init__(self) -> None:
         self._seen: dict[str, tuple[int, int]] = {}
 
     def age_ms(self, name: str, value: int, now_ms: int) -> int:
-        """Returns for how long a name has had its present value here."""
+        """Returns how long a name has had this value here; 0 if the value is new.
+
+        Args:
+          name: What the value belongs to.
+          value: The current value.
+          now_ms: The steady clock.
+        """
         seen = self._seen.get(name)
         if seen is None or seen[0] != value:
             self._seen[name] = (value, now_ms)
             return 0
         return now_ms - seen[1]
 
-    def forget_others(self, names: Container[str]) -> None:
-        """Forgets all names but these."""
+    def retain(self, names: Container[str]) -> None:
+        """Drops all names but these."""
         self._seen = {name: seen for name, seen in self._seen.items() if name in names}
--- a/src/quincespool/gateway/futures.py
+++ b/src/quincespool/gateway/futures.py
@@ -1,4 +1,4 @@
-"""Futures whose outcome perhaps nobody waits for."""
+"""Helpers for background tasks and for futures that may never be awaited."""
 
 from __future__ import annotations
 
@@ -15,20 +15,28 @@
 
 T = TypeVar("T")
 
-# A fault that comes again at once must not take the processor from everything else.
+# Delay before a failed task is restarted, so that one that fails at once does not use up the
+# processor.
 RESTART_S = 0.25
 
 
-def forget_error(done: asyncio.Future[Any]) -> None:
-    """Marks an error as seen; without that the loop reports it as one that nobody handled."""
+def ignore_error(done: asyncio.Future[Any]) -> None:
+    """Marks a future's exception as retrieved; otherwise the event loop would report it."""
     if not done.cancelled():
         done.exception()
 
 
-def start_kept(work: Coroutine[Any, Any, T], tasks: set[asyncio.Task[T]]) -> asyncio.Task[T]:
-    """Starts work that nobody need wait for, and keeps its task in a set until it is done.
+def start_background_task(
+    work: Coroutine[Any, Any, T], tasks: set[asyncio.Task[T]]
+) -> asyncio.Task[T]:
+    """Starts a task that need not be awaited and keeps it in a set until it is done.
 
-    The loop has only weak references to tasks: one that is kept nowhere may be collected half done.
+    The event loop holds only weak references to tasks, so a task without another reference may be
+    garbage-collected before it is done.
+
+    Args:
+      work: The coroutine to run.
+      tasks: Set that holds the task while it runs.
     """
     task = asyncio.get_running_loop().create_task(work)
     tasks.add(task)
@@ -36,27 +44,32 @@
     return task
 
 
-async def keep_running(
+async def run_with_restarts(
     part: str, make_work: Callable[[], Coroutine[Any, Any, None]], log: DecisionLog
 ) -> None:
-    """Runs work that the daemon's service rests on, and begins it again after a fault of its own.
+    """Runs a task that the daemon depends on and restarts it when it raises an exception.
+
+    Without the restart, such a task would end by an unhandled exception and the daemon would
+    continue without it until its own restart, for example with a lease that is never renewed. Each
+    failure writes the log line `part failed`.
 
-    What goes wrong without it: a task ends by an exception that nobody looks at, and the daemon
-    serves on without it, such as with a lease that is never renewed, until it is restarted. One
-    notices the line `part failed`.
+    Args:
+      part: Name of the task for the log.
+      make_work: Creates the coroutine to run.
+      log: Receives a line on each failure.
     """
     while True:
         try:
             await make_work()
         except Exception as error:
             log.write_always("part failed", part=part, error=repr(error))
-            report_fault(f"{part} failed", error)
+            report_exception(f"{part} failed", error)
         else:
             return
         await asyncio.sleep(RESTART_S)
 
 
-def report_fault(message: str, error: BaseException) -> None:
-    """Reports a fault of this program as the loop does for one that nobody has handled."""
+def report_exception(message: str, error: BaseException) -> None:
+    """Reports an exception to the event loop's handler, as for an unhandled one."""
     loop = asyncio.get_running_loop()
     loop.call_exception_handler({"message": message, "exception": error})
--- a/src/quincespool/gateway/live_settings.py
+++ b/src/quincespool/gateway/live_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force, and what a running daemon takes over when their file has changed."""
+"""The settings in force and the reload of the settings file in a running daemon."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
     from quincespool.gateway.decision_log import DecisionLog
     from quincespool.gateway.settings import GatewaySettings
 
-# The others are addresses, names and what all daemons share; a daemon that changed them under way
-# would be another one.
-LIVE_FIELDS = frozenset({"addresses_valid_ms", "backends_interval_ms", "log_level", "stop_grace_s"})
+# The other settings are addresses, names and values that all daemons share; a daemon that changed
+# them while it runs would no longer be the member that the others know.
+RELOADABLE_FIELDS = frozenset(
+    {"addresses_valid_ms", "backends_interval_ms", "log_level", "stop_grace_s"}
+)
 
 
 class LiveSettings:
-    """Holds the settings.
+    """The settings of a running daemon.
 
     Attributes:
-      current: In force.
+      current: The settings in force.
     """
 
     def __init__(
@@ -39,23 +41,28 @@
         self._log = log
 
     def reload(self) -> None:
-        """Reads the file again; what is wrong with it is logged and changes nothing."""
+        """Reads the settings file again and applies what may change in a running daemon.
+
+        If the file is invalid, the reason is logged and the settings stay as they are.
+        """
         try:
             loaded = self._load()
         except SettingsError as error:
             self._log.write_always("settings not reloaded", detail=str(error))
             return
         changed = [
-            name for name in loaded.__struct_fields__ if getattr(loaded, name) != self._get(name)
+            name
+            for name in loaded.__struct_fields__
+            if getattr(loaded, name) != self._current_value(name)
         ]
-        live = {name: getattr(loaded, name) for name in changed if name in LIVE_FIELDS}
+        live = {name: getattr(loaded, name) for name in changed if name in RELOADABLE_FIELDS}
         self.current = msgspec.structs.replace(self.current, **live)
         logging.getLogger().setLevel(self.current.log_level.upper())
         self._log.write_always(
             "settings reloaded",
             applied=sorted(live),
-            after_restart=[name for name in changed if name not in LIVE_FIELDS],
+            after_restart=[name for name in changed if name not in RELOADABLE_FIELDS],
         )
 
-    def _get(self, name: str) -> object:
+    def _current_value(self, name: str) -> object:
         return getattr(self.current, name)
--- a/src/quincespool/gateway/maintenance.py
+++ b/src/quincespool/gateway/maintenance.py
@@ -1,4 +1,4 @@
-"""What a daemon does at intervals: heartbeats, judging silence, forgetting what is over."""
+"""Periodic tasks of a daemon: heartbeats, failure detection, expiry and renewal of programs."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     from quincespool.gateway.turns.runner import TurnRunner
     from quincespool.gateway.turns.trimming import Trimming
 
-# Between two looks at a peer that is silent; a small part of the time for which it may be.
+# Least interval between checks for silent peers; a small part of the silence that is tolerated.
 SILENCE_CHECK_MS = 50
-UPKEEP_INTERVAL_MS = 250
+MAINTENANCE_INTERVAL_MS = 250
 EXPIRY_INTERVAL_MS = 2_000
-# Programs are forgotten this long after they can no longer be continued: clocks of daemons differ
-# by some seconds, and no turn lasts longer.
+# Programs are dropped this long after they can no longer be continued: clocks of daemons differ by
+# some seconds, and no turn lasts longer.
 LEDGER_GRACE_MS = 30_000
 
 
 class MaintenanceTasks:
-    """The interval work of one daemon."""
+    """The periodic tasks of one daemon."""
 
     def __init__(
         self,
         *,
-        beliefs: ClusterView,
+        cluster_view: ClusterView,
         presence: Presence,
         members: Members,
         links: Links,
@@ -47,7 +47,7 @@
         renewals: Renewals,
         trimming: Trimming,
     ) -> None:
-        self._beliefs = beliefs
+        self._cluster_view = cluster_view
         self._presence = presence
         self._members = members
         self._links = links
@@ -58,26 +58,26 @@
         self._trimming = trimming
 
     def subscribe(self, ticker: Ticker) -> None:
-        """Has the work done at its intervals."""
+        """Schedules each task at its interval."""
         ticker.every(lambda: BEAT_MS, self._presence.beat)
-        ticker.every(self._daemon_silence_ms, self._presence.judge_silence)
-        ticker.every(self._backend_silence_ms, self._quiet_backends.check)
-        ticker.every(lambda: UPKEEP_INTERVAL_MS, self._keep_up)
+        ticker.every(self._daemon_check_interval_ms, self._presence.judge_silence)
+        ticker.every(self._backend_check_interval_ms, self._quiet_backends.check)
+        ticker.every(lambda: MAINTENANCE_INTERVAL_MS, self._refresh_liveness)
         ticker.every(lambda: EXPIRY_INTERVAL_MS, self._expire)
-        ticker.every(self._renewal_interval_ms, self._renew)
+        ticker.every(self._renewal_interval_ms, self._renew_programs)
 
-    def _daemon_silence_ms(self) -> int:
+    def _daemon_check_interval_ms(self) -> int:
         due_ms = self._members.silence_due_ms(now_ms())
         return max(SILENCE_CHECK_MS, min(due_ms, ASK_MS))
 
-    def _backend_silence_ms(self) -> int:
+    def _backend_check_interval_ms(self) -> int:
         return max(SILENCE_CHECK_MS, min(self._quiet_backends.due_ms(), QUIET_MS))
 
     def _renewal_interval_ms(self) -> int:
         return min(EXPIRY_INTERVAL_MS, self._renewals.interval_ms)
 
-    def _keep_up(self) -> None:
-        self._beliefs.expire()
+    def _refresh_liveness(self) -> None:
+        self._cluster_view.expire()
         self._presence.follow_isolation()
         for daemon in self._members.others:
             if self._members.is_alive(daemon.member_id, now_ms()):
@@ -92,7 +92,7 @@
         self._ownership.end_retired()
         self._turns.forget_programs()
 
-    def _renew(self) -> None:
+    def _renew_programs(self) -> None:
         partitions = list(self._ownership.owned.values())
         for owned in partitions:
             self._renewals.renew(owned, wall_ms=wall_ms(), now_ms=now_ms())
--- a/src/quincespool/gateway/members/links.py
+++ b/src/quincespool/gateway/members/links.py
@@ -8,8 +8,8 @@
 from typing import Any
 from typing import cast
 
-from quincespool.gateway.futures import report_fault
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import report_exception
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.messages import CODEC
 from quincespool.gateway.members.messages import LinkProbe
 from quincespool.net.addresses import split_address
@@ -127,7 +127,7 @@
         try:
             self._on_message(self, sender, message)
         except Exception as error:
-            report_fault("message not handled", error)
+            report_exception("message not handled", error)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tells what is on the link that it is over."""
@@ -244,7 +244,7 @@
         del self._outgoing[address]
         if time.monotonic() - link.made_s < MIN_RECONNECT_S:
             return
-        start_kept(self.get(address), self._reconnecting)
+        start_background_task(self.get(address), self._reconnecting)
 
     def _make_incoming(self) -> Link:
         link = Link(self._member_id, on_message=self._on_message, on_lost=self._lose_incoming)
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.heartbeats import Heartbeats
 from quincespool.gateway.members.messages import BackendReport
 from quincespool.gateway.members.messages import CrashNotice
@@ -169,7 +169,7 @@
         )
         self._on_silent(daemon)
         work = self._ownership.release(daemon.member_id, daemon.incarnation)
-        start_kept(work, self._releasing)
+        start_background_task(work, self._releasing)
 
     def _announce_rest(self, told: tuple[object, ...]) -> None:
         self._announcing = None
@@ -245,7 +245,7 @@
             return
         if not isinstance(message, Heartbeat):
             return
-        if self._beliefs.hear(sender, message):
+        if self._beliefs.handle_heartbeat(sender, message):
             # It may not have heard of this daemon for as long.
             self.greet(self._members.entries[sender])
         if message.engine_id:
--- a/src/quincespool/gateway/planned_stop.py
+++ b/src/quincespool/gateway/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: callers and programs go elsewhere first, and what is under way ends."""
+"""Graceful shutdown: hands callers and partitions over to other daemons, then drains requests."""
 
 from __future__ import annotations
 
@@ -16,95 +16,101 @@
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.relay import Relay
 
-# Callers keep an address for up to three times as long as the directory says.
-ADDRESS_KEPT_FACTOR = 3
-# Kept of the stop's time for the end of the process.
+# Callers use an address for up to three times as long as the directory says.
+ADDRESS_VALIDITY_FACTOR = 3
+# Part of the grace period that is reserved for the end of the process.
 STOP_MARGIN_MS = 700
-# An answer is sent this long after the time limit of its call at the latest.
+# An answer is sent at most this long after its call's deadline.
 ANSWER_MARGIN_MS = 200
-CHECK_S = 0.05
-# Turns of the loop in which what waits in sockets is read, after a timer that may have fired late.
-READ_TURNS = 3
+CHECK_INTERVAL_S = 0.05
+# Iterations of the event loop in which input that is pending in sockets is read; the timer before
+# them may have fired late.
+READ_ITERATIONS = 3
 
 
 class PlannedStop:
-    """The stop of one daemon, begun by a signal."""
+    """The graceful shutdown of one daemon, begun by a signal."""
 
     def __init__(
         self,
         *,
         ownership: Ownership,
         presence: Presence,
-        front_port: HttpPort,
+        caller_port: HttpPort,
         relay: Relay,
         members: Members,
-        live: LiveSettings,
+        live_settings: LiveSettings,
         log: DecisionLog,
     ) -> None:
         self._ownership = ownership
         self._presence = presence
-        self._front_port = front_port
+        self._caller_port = caller_port
         self._relay = relay
         self._members = members
-        self._live = live
+        self._live_settings = live_settings
         self._log = log
-        self._last_ms: int | None = None
+        self._deadline_ms: int | None = None
 
     @property
-    def under_way(self) -> int:
-        """What callers, here and at other daemons, still wait for."""
-        return self._front_port.busy + self._relay.serving
+    def in_flight(self) -> int:
+        """Number of requests that callers, here and at other daemons, still wait for."""
+        return self._caller_port.busy + self._relay.serving
 
-    def leaves_time_until(self, until_ms: int) -> bool:
-        """Whether a call with this time limit, by the steady clock, is answered before the end.
+    def allows_deadline(self, until_ms: int) -> bool:
+        """Returns whether a call with this deadline is answered before the stop ends.
 
-        Callers use the connections that they have until they are closed; what is taken on one of
-        them without the time for it would be cut off after it ran.
+        Callers use their open connections until these are closed; a call accepted on one
+        of them with too little time left would be cut off after it ran.
+
+        Args:
+          until_ms: The call's deadline by the steady clock.
         """
-        return self._last_ms is None or until_ms + ANSWER_MARGIN_MS <= self._last_ms
+        return self._deadline_ms is None or until_ms + ANSWER_MARGIN_MS <= self._deadline_ms
 
     def begin(self) -> bool:
-        """Takes no new callers from now on; returns whether it had not begun before."""
-        if self._last_ms is not None:
+        """Stops attracting new callers; returns False if the stop has already begun."""
+        if self._deadline_ms is not None:
             return False
-        grace_ms = int(1_000 * self._live.current.stop_grace_s)
-        self._last_ms = now_ms() + grace_ms - STOP_MARGIN_MS
+        grace_ms = int(1_000 * self._live_settings.current.stop_grace_s)
+        self._deadline_ms = now_ms() + grace_ms - STOP_MARGIN_MS
         self._presence.draining = True
-        self._front_port.draining = True
-        self._log.write_always("stopping", under_way=self._front_port.busy)
+        self._caller_port.draining = True
+        self._log.write_always("stopping", under_way=self._caller_port.busy)
         self._presence.announce()
         return True
 
     async def drain(self) -> None:
-        """Returns when nothing is under way any more, or the time for the stop is over."""
-        kept_ms = now_ms() + ADDRESS_KEPT_FACTOR * self._live.current.addresses_valid_ms
+        """Returns when no requests are in flight any more, or at the deadline of the stop."""
+        unused_from_ms = (
+            now_ms() + ADDRESS_VALIDITY_FACTOR * self._live_settings.current.addresses_valid_ms
+        )
         await self._ownership.leave()
         self._presence.tell_left()
-        await self._until_idle(kept_ms)
-        self._front_port.stop()
+        await self._until_idle(unused_from_ms)
+        self._caller_port.stop()
         await self._until_idle(now_ms())
-        await self._front_port.cut_off()
+        await self._caller_port.cut_off()
 
     async def _until_idle(self, not_before_ms: int) -> None:
-        """Waits for a time, and until nothing is under way, but not beyond the end of the stop."""
-        assert self._last_ms is not None
-        while now_ms() < self._last_ms:
+        """Waits until a time and until the daemon is idle, but not beyond the stop's deadline."""
+        assert self._deadline_ms is not None
+        while now_ms() < self._deadline_ms:
             if now_ms() >= not_before_ms and self._is_done():
-                await _read_what_waits()
+                await _read_pending_input()
                 if self._is_done():
                     return
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _is_done(self) -> bool:
-        """Whether nobody waits, and records of turns need this daemon no more."""
-        if self.under_way or self._relay.settling or self._ownership.is_writing:
+        """Returns whether no caller waits and no turn records depend on this daemon any more."""
+        if self.in_flight or self._relay.settling or self._ownership.is_writing:
             return False
-        # A partition was taken over from a daemon that stops too, and nobody has it now: turns that
-        # are under way there can be kept only here.
-        lately_ms = now_ms() - int(1_000 * self._live.current.stop_grace_s)
-        return not (self._ownership.writes_since(lately_ms) and self._others_stop())
+        # This daemon has taken over a partition from another daemon that stops too, and nobody owns
+        # it now: records of turns in flight at the other one can be made durable only here.
+        since_ms = now_ms() - int(1_000 * self._live_settings.current.stop_grace_s)
+        return not (self._ownership.writes_since(since_ms) and self._is_another_draining())
 
-    def _others_stop(self) -> bool:
+    def _is_another_draining(self) -> bool:
         at_ms = now_ms()
         return any(
             self._members.is_alive(one.member_id, at_ms)
@@ -113,6 +119,6 @@
         )
 
 
-async def _read_what_waits() -> None:
-    for _ in range(READ_TURNS):
+async def _read_pending_input() -> None:
+    for _ in range(READ_ITERATIONS):
         await asyncio.sleep(0)
--- a/src/quincespool/gateway/platform_codec.py
+++ b/src/quincespool/gateway/platform_codec.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of a platform's encoding."""
+"""The interface to a platform's encoding of requests, headers and store records."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class AnswerHead(NamedTuple):
-    """The head of a backend server's answer.
+    """The status and headers of a backend server's answer.
 
     Attributes:
-      call_id: The call that it answers, as the backend server says.
-      stamped: Whether it bears the receipt without which a success does not count.
+      call_id: The id of the call that the backend server says it answers.
+      stamped: Whether the answer carries the receipt without which a success does not count.
       not_run: Whether the backend server states that the call has not run.
-      headers: Those that the caller gets.
-      idle_s: How long the connection may stay idle; None if it does not say.
+      headers: Headers to forward to the caller.
+      idle_s: How long the connection may stay idle; None if the answer does not say.
     """
 
     status: int
@@ -38,14 +38,18 @@
     idle_s: float | None
 
 
-class AddressQuestion(NamedTuple):
-    """A caller asks which addresses to use."""
+class AddressRequest(NamedTuple):
+    """A caller's request for the addresses that it should use.
+
+    Attributes:
+      zone: The caller's availability zone; empty if the request names none.
+    """
 
     zone: str
 
 
 class PlatformCodec(Protocol):
-    """Encodes and decodes; holds no state."""
+    """Encodes and decodes what a platform defines; holds no state."""
 
     CONFIGURATION_TOPIC: str
     CONFIGURATION_KEY: str
@@ -53,10 +57,10 @@
     DAEMONS_TOPIC: str
 
     def read_call(self, request: HttpRequest) -> Result[Call, RequestError]:
-        """Returns the call in a caller's request."""
+        """Returns the call that a caller's request describes, or why the request is invalid."""
 
     def read_call_id(self, request: HttpRequest) -> str:
-        """Returns the call id of a request, empty if it has none."""
+        """Returns the call id of a request; empty if it has none."""
 
     def write_attempt_headers(
         self,
@@ -68,41 +72,58 @@
         priority: int | None,
         after_event: int | None = None,
     ) -> Headers:
-        """Returns the headers of one attempt at a backend server.
+        """Returns the request headers of one attempt at a backend server.
 
         Args:
-          call: With the headers that are passed on.
-          account: Told in place of the caller's key; empty if there is none.
-          backend_id: The only one that may run it.
-          left_ms: How long it may take.
-          priority: Among the calls that wait there; 0 goes first.
-          after_event: Number of the last event that need not be sent again; None leaves that to
-            what the caller has said.
+          call: The call; its own headers are included.
+          account: Account name that is sent in place of the caller's API key; empty if none.
+          backend_id: The only backend server that may run the call.
+          left_ms: How long the attempt may take.
+          priority: Priority among the calls that wait at the backend server; 0 goes first.
+          after_event: Number of the last event that need not be sent again; None to use the one
+            that the caller named, if any.
         """
 
     def read_answer_head(self, status: int, pairs: Headers) -> AnswerHead:
-        """Returns what the head of a backend server's answer says."""
+        """Returns the decoded status and headers of a backend server's answer."""
 
     def write_refusal_headers(self, refusal: Refusal, call_id: str) -> Headers:
-        """Returns the headers of an answer of the gateway's own."""
+        """Returns the headers of an error answer that the gateway itself generates."""
 
-    def read_address_question(self, request: HttpRequest) -> AddressQuestion | None:
-        """Returns what a caller asks of the directory, None if it is something else."""
+    def read_address_request(self, request: HttpRequest) -> AddressRequest | None:
+        """Returns the request for addresses; None if the request is for something else."""
 
     def write_addresses(self, addresses: list[str], valid_ms: int) -> bytes:
-        """Returns the body of the directory's answer."""
+        """Returns the body of the answer to a request for addresses.
+
+        Args:
+          addresses: The addresses to use.
+          valid_ms: How long the caller may use them before it asks again.
+        """
 
-    def is_readiness_question(self, request: HttpRequest) -> bool:
-        """Whether the platform asks if the daemon is ready."""
+    def is_readiness_request(self, request: HttpRequest) -> bool:
+        """Returns whether a request is the platform's readiness check."""
 
     def read_configuration(self, value: bytes) -> Configuration:
-        """Returns the configuration in a record; raises `msgspec.DecodeError`."""
+        """Returns the configuration in a record.
+
+        Raises:
+          msgspec.DecodeError: If the record cannot be decoded.
+        """
 
     def read_backend(self, backend_id: str, value: bytes) -> BackendEntry:
-        """Returns the entry of a backend server; raises `msgspec.DecodeError`."""
+        """Returns the entry of a backend server.
+
+        Raises:
+          msgspec.DecodeError: If the record cannot be decoded.
+        """
 
     def read_daemon(self, member_id: str, value: bytes) -> Daemon:
-        """Returns the entry of a daemon; raises `msgspec.DecodeError`."""
+        """Returns the entry of a daemon.
+
+        Raises:
+          msgspec.DecodeError: If the record cannot be decoded.
+        """
 
     def write_daemon(self, daemon: Daemon) -> bytes:
-        """Returns the record of a daemon's entry."""
+        """Returns a daemon's entry, encoded for the store."""
--- a/src/quincespool/gateway/settings.py
+++ b/src/quincespool/gateway/settings.py
@@ -14,8 +14,9 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-# Least and greatest value of every number; outside of these a daemon would start and misbehave.
 OWNER_TOPIC = "programs"
+# Least and greatest allowed value of every number; with values outside of these a daemon would
+# start but misbehave.
 RANGES: dict[str, tuple[int, int]] = {
     "metrics_port": (1, 65_535),
     "peer_port": (1, 65_535),
@@ -34,32 +35,36 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Everything a gateway daemon knows before it reads the store.
+    """Everything that a gateway daemon needs to know before it can read the store.
 
     Attributes:
-      caller_address: Where callers connect.
-      ready_address: Where the platform asks whether the daemon is ready.
-      directory_address: Where callers ask which addresses to use.
-      peer_port: TCP and UDP, for other daemons.
-      store_partitions: Partitions of each topic in the store.
-      owner_topics: Topics of program records; with `store_partitions` the number of partitions that
-        daemons share among themselves. Four for each of ten daemons keeps the shares within a
-        quarter of one another.
-      owner_lease_ms: After this long without a renewal a daemon's partitions go to others.
-      store_limit_ms: How long one request to the store may take.
-      store_retention_s: How long the store keeps a record. Programs that live longer are written
-        again before that.
-      backends_interval_ms: How often the entries of backend servers are read; must leave time to
-        stop using one within the time that it drains.
-      addresses_valid_ms: How long callers keep an answer of the directory. Whoever must ask again
-        may ask a host without power first, for a second; whoever keeps an answer may connect to
-        one. Three times as long must fit into `stop_grace_s`, since some callers keep it for that.
-      limit_window_s: Operators look at an account's limit over any time as long as this.
-      limit_slack_calls: By how many calls an account may pass it there.
-      limit_overage_share: By which part of it an account may pass it besides.
-      admission_control: Whether new programs are refused while the engines of their service are so
-        full that they can't end in time.
-      stop_grace_s: From SIGTERM until the platform kills the process.
+      caller_address: Address that callers connect to.
+      ready_address: Address of the platform's readiness checks.
+      directory_address: Address at which callers request the addresses that they should use.
+      metrics_port: Port on which metrics are read.
+      peer_port: Port for other daemons, both TCP and UDP.
+      store_partitions: Number of partitions of each topic in the store.
+      owner_topics: Number of topics for program records. Times `store_partitions`, it gives the
+        number of partitions that are distributed over the daemons. Four for each of ten daemons
+        keep the daemons' shares within a quarter of one another.
+      owner_lease_ms: A daemon that has not renewed its lease for this long loses its partitions to
+        other daemons.
+      store_limit_ms: Timeout of one request to the store.
+      store_retention_s: How long the store retains a record. Records of programs that live longer
+        are written again before they expire.
+      backends_interval_ms: Interval at which the entries of backend servers are read. It must be
+        short enough to stop using a backend server before it has drained.
+      addresses_valid_ms: How long callers may use an answer of the directory. A shorter time makes
+        callers ask more often, and the host that they ask first may be without power, which costs
+        them a second; a longer time lets them connect to such a host. Three times this must fit
+        into `stop_grace_s`, since some callers use an answer for that long.
+      limit_window_s: Operators check an account's rate limit over every window of this length.
+      limit_slack_calls: Number of calls by which an account may exceed its limit in a window.
+      limit_overage_share: Share of its limit by which an account may exceed it in a window, in
+        addition to `limit_slack_calls`.
+      admission_control: Whether new programs are refused while the engines of their service are too
+        full for them to end in time.
+      stop_grace_s: Time from SIGTERM until the platform kills the process.
     """
 
     member_id: str
@@ -87,17 +92,17 @@
 
     @property
     def owner_topic_names(self) -> list[str]:
-        """Topics of program records."""
+        """Names of the topics for program records."""
         return [f"{OWNER_TOPIC}.{number}" for number in range(self.owner_topics)]
 
     @property
     def peer_address(self) -> str:
-        """Where other daemons connect and send datagrams."""
+        """Address that other daemons connect to and send datagrams to."""
         return f"{self.host}:{self.peer_port}"
 
     @property
     def side_addresses(self) -> tuple[str, str, str]:
-        """Where readiness, addresses for callers, and metrics are asked for."""
+        """Addresses of the ports for readiness checks, for the directory and for metrics."""
         metrics_address = f"{self.host}:{self.metrics_port}"
         return self.ready_address, self.directory_address, metrics_address
 
@@ -106,7 +111,7 @@
     """Reads and checks a settings file.
 
     Raises:
-      SettingsError: with one line that names the key at fault.
+      SettingsError: If the file is invalid; its one-line message names the invalid key.
     """
     data = read_settings_file(path)
     try:
@@ -120,7 +125,7 @@
 
 
 def find_fault(settings: GatewaySettings) -> str | None:
-    """Returns one line on the first value that cannot be used, None if all can."""
+    """Returns a one-line description of the first invalid value; None if all are valid."""
     for key, (least, greatest) in RANGES.items():
         value = getattr(settings, key)
         if not least <= value <= greatest:
--- a/src/quincespool/gateway/store/__init__.py
+++ b/src/quincespool/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store that lasts: what is needed of it, and what is followed in it."""
+"""The durable store: its interface, retries of requests to it, and readers of its topics."""
--- a/src/quincespool/gateway/store/cluster_view.py
+++ b/src/quincespool/gateway/store/cluster_view.py
@@ -1,6 +1,6 @@
-"""What a daemon believes of the rest: configuration, backend servers, other daemons, the store.
+"""A daemon's view of the cluster: configuration, backend servers, other daemons, the store.
 
-Everything that changes a belief comes in here and leaves a log line.
+Everything that changes this view is handled in this module, and each change is logged.
 """
 
 from __future__ import annotations
@@ -31,61 +31,68 @@
     from quincespool.gateway.store.interface import KeyedRecord
     from quincespool.gateway.store.interface import Store
 
-# A read of the configuration waits this long for a change; a connection that has gone silent is
-# noticed after it.
+# A read of the configuration waits this long for a change; a connection that no longer responds is
+# detected when this time is over.
 CONFIGURATION_WAIT_MS = 2_000
 DAEMONS_WAIT_MS = 5_000
-# An entry that lapses while the store is away is back within two seconds of its return.
-LAPSE_GRACE_MS = 2_200
-# Appends that find no room are sent again sooner, and a daemon looks for what it can delete.
-FULL_MEMORY_MS = 3_000
-# Requests to the store that fail in a row, and time without any success, before it counts as lost:
-# a burst beyond its rate is refused in part while it serves the rest.
-FAILURES_TO_LOSE = 3
-SILENCE_TO_LOSE_MS = 300
+# An entry that expires while the store is unavailable is written again within two seconds of the
+# store's recovery.
+EXPIRY_GRACE_MS = 2_200
+# The store counts as full for this long after an append found no room. Such appends are retried
+# sooner than this, and meanwhile a daemon looks for records that it can delete.
+FULL_STATUS_HOLD_MS = 3_000
+# The store counts as lost after this many consecutive failures and this long without a success:
+# when a burst exceeds its rate, the store refuses part of the requests and serves the rest.
+LOST_AFTER_FAILURES = 3
+LOST_AFTER_MS = 300
 
 
 class StoreHealth:
-    """Whether the store answers this daemon.
+    """Tracks whether the store answers this daemon, from the outcomes of requests.
 
     Attributes:
-      reachable: Whether it did lately.
-      lapses_until_ms: Steady clock until which entries that lapsed meanwhile may be missing.
+      reachable: Whether the store answers; False once it counts as lost.
+      expiry_grace_until_ms: Steady clock until which entries that expired during an outage may
+        still be missing from the store.
     """
 
     def __init__(
-        self, log: DecisionLog, now_ms: Callable[[], int], *, on_return: Callable[[], None]
+        self, log: DecisionLog, now_ms: Callable[[], int], *, on_recovery: Callable[[], None]
     ) -> None:
         self.reachable = True
-        self.lapses_until_ms = 0
+        self.expiry_grace_until_ms = 0
         self._log = log
         self._now_ms = now_ms
-        self._on_return = on_return
+        self._on_recovery = on_recovery
         self._failures = 0
         self._succeeded_ms = now_ms()
         self._full_ms: int | None = None
 
     @property
     def full(self) -> bool:
-        """Whether it had no room for an append lately; it answers all the same."""
-        return self._full_ms is not None and self._now_ms() - self._full_ms < FULL_MEMORY_MS
+        """Whether the store recently had no room for an append; it may still answer requests."""
+        return self._full_ms is not None and self._now_ms() - self._full_ms < FULL_STATUS_HOLD_MS
 
     @property
-    def is_prompt(self) -> bool:
-        """Whether the store is expected to answer at once, as far as this daemon can know yet."""
-        silent_ms = self._now_ms() - self._succeeded_ms
-        return self._failures == 0 and silent_ms <= SILENCE_TO_LOSE_MS
+    def is_responsive(self) -> bool:
+        """Whether the last request succeeded, and recently, so that a prompt answer is likely."""
+        since_success_ms = self._now_ms() - self._succeeded_ms
+        return self._failures == 0 and since_success_ms <= LOST_AFTER_MS
 
     def record_status(self, status: str) -> None:
-        """Takes the outcome of a request in: a status or `unanswered`."""
-        self._note_room(status)
+        """Records the outcome of a request.
+
+        Args:
+          status: The HTTP status of the answer, or `unanswered`.
+        """
+        self._record_room(status)
         if status in ("unanswered", "503", "429"):
             self._failures += 1
-            silent_ms = self._now_ms() - self._succeeded_ms
+            since_success_ms = self._now_ms() - self._succeeded_ms
             if (
                 self.reachable
-                and self._failures >= FAILURES_TO_LOSE
-                and silent_ms > SILENCE_TO_LOSE_MS
+                and self._failures >= LOST_AFTER_FAILURES
+                and since_success_ms > LOST_AFTER_MS
             ):
                 self.reachable = False
                 self._log.write_always("store lost", status=status)
@@ -94,11 +101,11 @@
         self._succeeded_ms = self._now_ms()
         if not self.reachable:
             self.reachable = True
-            self.lapses_until_ms = self._now_ms() + LAPSE_GRACE_MS
+            self.expiry_grace_until_ms = self._now_ms() + EXPIRY_GRACE_MS
             self._log.write_always("store regained")
-            self._on_return()
+            self._on_recovery()
 
-    def _note_room(self, status: str) -> None:
+    def _record_room(self, status: str) -> None:
         if status == "507":
             if self._full_ms is None:
                 self._log.write_always("store full")
@@ -109,7 +116,13 @@
 
 
 class ClusterView:
-    """Follows the store's topics and the heartbeats of other daemons."""
+    """Follows the store's topics and the heartbeats of other daemons.
+
+    Attributes:
+      configuration: Follower of the configuration topic.
+      backend_entries: Follower of the entries of backend servers.
+      daemon_entries: Follower of the entries of daemons.
+    """
 
     def __init__(
         self,
@@ -118,7 +131,7 @@
         incarnation: int,
         store: Store,
         store_health: StoreHealth,
-        wire: PlatformCodec,
+        codec: PlatformCodec,
         routes: RouteTable,
         backends: Backends,
         pool: ConnectionPool,
@@ -134,7 +147,7 @@
         self._member_id = member_id
         self._incarnation = incarnation
         self._store_health = store_health
-        self._wire = wire
+        self._codec = codec
         self._routes = routes
         self._backends = backends
         self._pool = pool
@@ -146,43 +159,43 @@
         self._on_newer_configuration = on_newer_configuration
         self._on_configuration = on_configuration
         self.configuration = TopicFollower(
-            wire.CONFIGURATION_TOPIC,
+            codec.CONFIGURATION_TOPIC,
             store=store,
-            on_record=self._take_configuration,
+            on_record=self._on_configuration_record,
             on_listing=lambda _: None,
             wait_ms=CONFIGURATION_WAIT_MS,
             pause_ms=lambda: 0,
         )
         self.backend_entries = TopicFollower(
-            wire.BACKENDS_TOPIC,
+            codec.BACKENDS_TOPIC,
             store=store,
-            on_record=self._take_backend_record,
-            on_listing=self._list_backends,
+            on_record=self._on_backend_record,
+            on_listing=self._on_backend_listing,
             wait_ms=0,
             pause_ms=lambda: entries_interval_ms(backends_interval_ms(), len(members.entries)),
         )
         self.daemon_entries = TopicFollower(
-            wire.DAEMONS_TOPIC,
+            codec.DAEMONS_TOPIC,
             store=store,
-            on_record=self._take_daemon,
+            on_record=self._on_daemon_record,
             on_listing=lambda _: None,
             wait_ms=DAEMONS_WAIT_MS,
             pause_ms=lambda: members_pause_ms(len(members.entries)),
         )
 
     @property
-    def complete(self) -> bool:
-        """Whether calls can be routed."""
+    def can_route_calls(self) -> bool:
+        """Whether the configuration and the entries of backend servers have been read."""
         return self._routes.configuration is not None and self.backend_entries.synced_event.is_set()
 
-    async def until_complete(self) -> None:
-        """Returns when calls can be routed."""
+    async def wait_until_routable(self) -> None:
+        """Waits until calls can be routed."""
         await self._routes.configured.wait()
         await self.backend_entries.synced_event.wait()
 
     @property
     def configuration_version(self) -> int:
-        """Version in force here."""
+        """Version of the configuration in force at this daemon."""
         return self._routes.version
 
     @property
@@ -190,38 +203,39 @@
         """Whether the store answers this daemon."""
         return self._store_health.reachable
 
-    def hear(self, sender: str, beat: Heartbeat) -> bool:
-        """Takes a heartbeat in; returns whether its sender counted as silent."""
+    def handle_heartbeat(self, sender: str, heartbeat: Heartbeat) -> bool:
+        """Applies a heartbeat; returns whether it is from a known daemon that counted as silent."""
         now_ms = self._now_ms()
         alive = self._members.is_alive(sender, now_ms)
-        if sender == self._member_id or not self._members.hear(sender, beat, now_ms):
+        if sender == self._member_id or not self._members.hear(sender, heartbeat, now_ms):
             return False
-        if beat.configuration_version > self._routes.version:
+        if heartbeat.configuration_version > self._routes.version:
             self.configuration.read_soon()
-            self._on_newer_configuration(sender, beat.configuration_version)
+            self._on_newer_configuration(sender, heartbeat.configuration_version)
         if alive:
             return False
-        self._log.write("daemon heard", peer_id=sender, incarnation=beat.incarnation)
+        self._log.write("daemon heard", peer_id=sender, incarnation=heartbeat.incarnation)
         return sender in self._members.entries
 
     def adopt_copy(self, configuration: Configuration, peer_id: str) -> None:
-        """Puts a configuration in force that another daemon has handed on, if it is newer."""
+        """Adopts a configuration that another daemon has sent, if it is newer."""
         self._adopt(configuration, offset=-1, source=peer_id)
 
     def expire(self) -> None:
-        """Forgets what was not renewed in time."""
+        """Drops backend servers whose entries have expired, and stale connections."""
         for backend_id in self._backends.expire(self._now_ms()):
             self._pool.drop(backend_id)
             self._log.write("backend lapsed", backend_id=backend_id)
         self._pool.close_stale()
 
-    def _take_configuration(self, record: KeyedRecord) -> None:
-        if record.key != self._wire.CONFIGURATION_KEY or record.value is None:
+    def _on_configuration_record(self, record: KeyedRecord) -> None:
+        if record.key != self._codec.CONFIGURATION_KEY or record.value is None:
             return
         try:
-            configuration = self._wire.read_configuration(record.value)
+            configuration = self._codec.read_configuration(record.value)
         except msgspec.MsgspecError as error:
-            # The present one stays in force; operators see a version that does not come.
+            # The present configuration stays in force; operators see that the new version does not
+            # appear.
             self._log.write_always(
                 "configuration unreadable", offset=record.offset, detail=str(error)
             )
@@ -243,32 +257,32 @@
             keys=len(accounts.by_key) if accounts is not None else 0,
         )
 
-    def _take_backend_record(self, record: KeyedRecord) -> None:
+    def _on_backend_record(self, record: KeyedRecord) -> None:
         if record.value is None:
             self._remove_backend(record.key, record.offset)
             return
         try:
-            entry = self._wire.read_backend(record.key, record.value)
+            entry = self._codec.read_backend(record.key, record.value)
         except msgspec.MsgspecError as error:
-            # Whoever wrote it has put it in the place of an entry that could be read; what that
-            # one said holds no more. The backend server's next one brings it back.
+            # The unreadable record has replaced the backend server's last readable entry, which is
+            # therefore no longer valid. Its next readable entry adds the backend server again.
             self._backends.discard(record.key)
             self._log.write("backend entry unreadable", key=record.key, detail=str(error))
             return
-        self._take_backend(entry, record.offset)
+        self._apply_backend_entry(entry, record.offset)
 
-    def _take_backend(self, entry: BackendEntry, offset: int) -> None:
-        news = self._backends.put(entry)
-        if news is EntryNews.NOTHING:
+    def _apply_backend_entry(self, entry: BackendEntry, offset: int) -> None:
+        change = self._backends.put(entry)
+        if change is EntryNews.NOTHING:
             return
-        if news is EntryNews.NEW_LIFE:
-            # Nobody answers any more what was sent to the last one.
-            self._pool.break_off(entry.backend_id, "the backend server has started again")
+        if change is EntryNews.NEW_LIFE:
+            # Calls that were sent to the previous incarnation will never be answered.
+            self._pool.break_off(entry.backend_id, "the backend server has restarted")
         self._log.write(
             "backend entry",
             backend_id=entry.backend_id,
             born_ms=entry.born_ms,
-            news=news.value,
+            news=change.value,
             service=entry.service,
             address=entry.address,
             leaving=entry.leaving,
@@ -276,7 +290,7 @@
         )
 
     def _remove_backend(self, backend_id: str, offset: int) -> None:
-        now_ms, lapses_until_ms = self._now_ms(), self._store_health.lapses_until_ms
+        now_ms, lapses_until_ms = self._now_ms(), self._store_health.expiry_grace_until_ms
         self._backends.remove(backend_id, now_ms=now_ms, lapses_until_ms=lapses_until_ms)
         self._log.write(
             "backend removed",
@@ -285,18 +299,18 @@
             may_have_lapsed=now_ms < lapses_until_ms,
         )
 
-    def _list_backends(self, keys: list[str]) -> None:
+    def _on_backend_listing(self, keys: list[str]) -> None:
         self._backends.retain(
-            keys, now_ms=self._now_ms(), lapses_until_ms=self._store_health.lapses_until_ms
+            keys, now_ms=self._now_ms(), lapses_until_ms=self._store_health.expiry_grace_until_ms
         )
 
-    def _take_daemon(self, record: KeyedRecord) -> None:
+    def _on_daemon_record(self, record: KeyedRecord) -> None:
         if record.value is None:
             self._members.remove(record.key)
             self._log.write("daemon left", peer_id=record.key, offset=record.offset)
             return
         try:
-            daemon = self._wire.read_daemon(record.key, record.value)
+            daemon = self._codec.read_daemon(record.key, record.value)
         except msgspec.MsgspecError as error:
             self._log.write("daemon entry unreadable", key=record.key, detail=str(error))
             return
@@ -316,7 +330,7 @@
             )
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is believed, for people to read."""
+        """Returns the view for the state dump."""
         now_ms = self._now_ms()
         return {
             "configuration_version": self._routes.version,
--- a/src/quincespool/gateway/store/configuration_copies.py
+++ b/src/quincespool/gateway/store/configuration_copies.py
@@ -1,9 +1,10 @@
-"""Brings the configuration to daemons that cannot read it from the store.
+"""Transfers the configuration between daemons, for those that cannot read it from the store.
 
-What goes wrong without it: the store turns some hosts away, or they are cut off from it, while the
-operators take a key away; these hosts go on serving it until they are let in again. One notices a
-`configuration_version` in `call answered` that is behind that of other daemons. Heartbeats tell of
-a newer version, and any daemon that has it hands it on whole.
+Without it, hosts that the store rejects or that are cut off from it would continue to accept an API
+key that operators have revoked, until they can read the store again. The symptom is a
+`configuration_version` in `call answered` that is behind that of other daemons. Heartbeats carry
+the version in force, and any daemon that has a newer one sends the complete configuration on
+request.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 import msgspec
 
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.messages import ConfigurationCopy
 from quincespool.gateway.members.messages import ConfigurationQuestion
 from quincespool.gateway.model import Configuration
@@ -29,32 +30,33 @@
     from quincespool.gateway.members.links import Links
     from quincespool.gateway.members.table import Members
 
-# The store shows a new version to all within some tens of milliseconds; only who has none by then
-# asks the others, so that a change costs no messages as long as the store serves all.
-ASK_AFTER_MS = 200
-# An answer takes a round trip; one that is lost is asked for again.
-ASK_INTERVAL_MS = 250
+# The store delivers a new version to all daemons within some tens of milliseconds. Only a daemon
+# that does not have it by then requests a copy, so that a change causes no messages between daemons
+# as long as the store serves them all.
+REQUEST_DELAY_MS = 200
+# Interval between requests: an answer takes one round trip, and a lost one must be requested again.
+REQUEST_INTERVAL_MS = 250
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Configuration)
 
 
 def write_configuration_copy(configuration: Configuration) -> bytes:
-    """Returns a configuration as daemons hand it on."""
+    """Returns a configuration, encoded for other daemons."""
     return _ENCODER.encode(configuration)
 
 
 def read_configuration_copy(data: bytes) -> Configuration:
-    """Returns the configuration in some bytes.
+    """Returns the configuration that `write_configuration_copy` has encoded.
 
     Raises:
-      msgspec.MsgspecError: if they hold none of this version of the product.
+      msgspec.MsgspecError: If the data cannot be decoded, as from another version of the product.
     """
     return _DECODER.decode(data)
 
 
 class ConfigurationCopies:
-    """Asks other daemons for a newer configuration, and hands this one's on."""
+    """Requests newer configurations from other daemons, and answers their requests."""
 
     def __init__(
         self,
@@ -65,14 +67,14 @@
         log: DecisionLog,
         adopt: Callable[[Configuration, str], None],
     ) -> None:
-        """Makes the part of one daemon.
+        """Creates the component of one daemon.
 
         Args:
-          routes: Have the configuration in force.
-          members: Tell where daemons can be reached.
-          links: Carry questions and copies.
-          log: Takes copies that can't be read.
-          adopt: Takes a configuration and the daemon that it is from.
+          routes: Holds the configuration in force.
+          members: Gives the addresses of other daemons.
+          links: Connections to other daemons.
+          log: Receives a line on each copy that cannot be decoded.
+          adopt: Called with a configuration and the id of the daemon that sent it.
         """
         self._routes = routes
         self._members = members
@@ -80,25 +82,33 @@
         self._log = log
         self._adopt = adopt
         self._newer_since_ms: int | None = None
-        self._asked_ms = -ASK_INTERVAL_MS
-        self._asking: set[asyncio.Task[None]] = set()
+        self._requested_ms = -REQUEST_INTERVAL_MS
+        self._requests: set[asyncio.Task[None]] = set()
 
-    def heard(self, peer_id: str, version: int) -> None:
-        """Takes in which version another daemon has in force."""
+    def on_peer_version(self, peer_id: str, version: int) -> None:
+        """Requests a copy if another daemon has had a newer version in force for long enough.
+
+        Args:
+          peer_id: The other daemon.
+          version: The version of the configuration that it has in force.
+        """
         if version <= self._routes.version:
             return
         at_ms = now_ms()
         if self._newer_since_ms is None:
             self._newer_since_ms = at_ms
-        if at_ms - self._newer_since_ms < ASK_AFTER_MS or at_ms - self._asked_ms < ASK_INTERVAL_MS:
+        if (
+            at_ms - self._newer_since_ms < REQUEST_DELAY_MS
+            or at_ms - self._requested_ms < REQUEST_INTERVAL_MS
+        ):
             return
         peer = self._members.entries.get(peer_id)
         if peer is not None:
-            self._asked_ms = at_ms
-            start_kept(self._ask(peer.peer_address), self._asking)
+            self._requested_ms = at_ms
+            start_background_task(self._request_copy(peer.peer_address), self._requests)
 
     def on_message(self, link: Link, sender: str, message: Any) -> None:
-        """Takes a question or a copy of another daemon."""
+        """Handles a request for a copy, or a copy, from another daemon."""
         if isinstance(message, ConfigurationQuestion):
             configuration = self._routes.configuration
             if configuration is not None and configuration.version > message.version:
@@ -111,11 +121,11 @@
             return
         self._adopt(configuration, sender)
 
-    def caught_up(self) -> None:
-        """Takes note that a newer configuration is in force; the next one is waited for anew."""
+    def on_configuration_adopted(self) -> None:
+        """Restarts the delay before the next request, since a newer configuration is in force."""
         self._newer_since_ms = None
 
-    async def _ask(self, address: str) -> None:
+    async def _request_copy(self, address: str) -> None:
         link = await self._links.get(address)
         if link is not None:
             link.send(ConfigurationQuestion(self._routes.version))
--- a/src/quincespool/gateway/store/follower.py
+++ b/src/quincespool/gateway/store/follower.py
@@ -1,11 +1,11 @@
-"""Keeps a daemon's picture of a keyed topic up to date, whatever the store goes through."""
+"""Follows a keyed topic of the store continuously, across failures of the store."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from quincespool.gateway.futures import report_fault
+from quincespool.gateway.futures import report_exception
 from quincespool.gateway.store.interface import ExpiredError
 from quincespool.gateway.store.interface import StoreError
 
@@ -16,16 +16,16 @@
     from quincespool.gateway.store.interface import KeyedRecord
     from quincespool.gateway.store.interface import Store
 
-# After a failed read; short enough to see the store's return at once, long enough that a hundred
-# daemons that wait for it don't use up its rate.
-RETRY_S = 0.25
+# Delay after a failed read: short enough to detect the store's recovery at once, long enough that a
+# hundred waiting daemons don't use up the store's request rate.
+RETRY_DELAY_S = 0.25
 
 
 class TopicFollower:
-    """Reads one keyed topic to its end, again and again.
+    """Reads new records of one keyed topic repeatedly.
 
     Attributes:
-      synced_event: Set when the topic was read to its end for the first time.
+      synced_event: Set when the topic has been read to its end for the first time.
     """
 
     def __init__(
@@ -38,15 +38,16 @@
         wait_ms: int,
         pause_ms: Callable[[], int],
     ) -> None:
-        """Makes a follower.
+        """Creates a follower.
 
         Args:
-          topic: What to follow.
-          store: Where.
-          on_record: Takes each record as it comes.
-          on_listing: Takes all keys after a listing, which shows what was dropped unseen.
-          wait_ms: How long a read waits for the first record; 0 to ask at intervals instead.
-          pause_ms: Time between two reads.
+          topic: The topic to follow.
+          store: The store that holds the topic.
+          on_record: Called with each record that is read.
+          on_listing: Called with all existing keys after a full listing, so that keys whose
+            deletion was not read can be dropped.
+          wait_ms: How long a read waits for the first record; 0 to poll instead.
+          pause_ms: Returns the time between two reads.
         """
         self.synced_event = asyncio.Event()
         self._topic = topic
@@ -56,51 +57,51 @@
         self._wait_ms = wait_ms
         self._pause_ms = pause_ms
         self._offset: int | None = None
-        self._poke = asyncio.Event()
+        self._read_now = asyncio.Event()
 
     def read_soon(self) -> None:
-        """Reads without waiting for the pause to end."""
-        self._poke.set()
+        """Ends the pause between two reads early."""
+        self._read_now.set()
 
     async def run(self) -> None:
-        """Follows the topic for ever."""
+        """Follows the topic until cancelled."""
         while True:
             try:
                 await self._read()
             except ExpiredError:
-                # Records were deleted unread; the listing has what they came to.
+                # Records were deleted before they were read; a full listing has their result.
                 self._offset = None
             except StoreError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
             else:
-                await self._rest()
+                await self._pause()
 
     async def _read(self) -> None:
         page: KeyedPage
         if self._offset is None:
             page = await self._store.read_newest(self._topic)
-            self._hand_on(page.records)
+            self._deliver(page.records)
             self._on_listing([record.key for record in page.records])
             self.synced_event.set()
         else:
             page = await self._store.read_keyed(self._topic, self._offset, wait_ms=self._wait_ms)
-            self._hand_on(page.records)
+            self._deliver(page.records)
         self._offset = page.end_offset
 
-    def _hand_on(self, records: list[KeyedRecord]) -> None:
-        """Hands records on one by one; a fault with one must not stop the topic at its place."""
+    def _deliver(self, records: list[KeyedRecord]) -> None:
+        """Passes records on one by one; an exception on one must not block those after it."""
         for record in records:
             try:
                 self._on_record(record)
             except Exception as error:
-                report_fault(f"record {record.offset} of {self._topic} not handled", error)
+                report_exception(f"record {record.offset} of {self._topic} not handled", error)
 
-    async def _rest(self) -> None:
+    async def _pause(self) -> None:
         pause_ms = self._pause_ms()
         if pause_ms:
             try:
                 async with asyncio.timeout(pause_ms / 1000):
-                    await self._poke.wait()
+                    await self._read_now.wait()
             except TimeoutError:
                 pass
-        self._poke.clear()
+        self._read_now.clear()
--- a/src/quincespool/gateway/store/hedged_requests.py
+++ b/src/quincespool/gateway/store/hedged_requests.py
@@ -1,4 +1,4 @@
-"""Idempotent requests to the store, sent once more when no answer comes in the usual time."""
+"""Hedged requests to the store: copies of an idempotent request are sent when an answer is late."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 from typing import TypeVar
 
-from quincespool.gateway.futures import forget_error
+from quincespool.gateway.futures import ignore_error
 from quincespool.gateway.store.interface import StoreError
 from quincespool.policy.answer_times import AnswerTimes
 
@@ -17,64 +17,66 @@
 
 T = TypeVar("T")
 
-# Copies of one request under way at once. A third copy is lost with the two before it once in a
-# hundred times where a quarter of all answers are; more would only load a store that is slow.
+# Copies of one request in flight at once. Where a quarter of all answers are lost, all three copies
+# are lost once in a hundred times; more copies would only add load to a store that is slow.
 MAX_COPIES = 3
 
 
 class HedgedRequests:
     """Sends copies of a request until one is answered; shared by all requests of a daemon.
 
-    What goes wrong without it: an answer of the store is lost, its connection says nothing any
-    more, and a partition with all its programs waits for the whole time limit. One notices a
-    `gateway_record_ms` of the time limit while most answers take a few milliseconds. Only for
-    requests that may be done twice.
+    Without hedging, when an answer of the store is lost and its connection stays silent, a
+    partition with all its programs waits for the full timeout. The symptom is a `gateway_record_ms`
+    as long as the timeout while most answers take a few milliseconds. Only for idempotent requests.
+
+    Attributes:
+      times: Statistics of answer times, which determine when the next copy is sent.
     """
 
     def __init__(self, *, on_hedge: Callable[[], None]) -> None:
         self.times = AnswerTimes()
         self._on_hedge = on_hedge
-        self._returned: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._recovered: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def wake(self) -> None:
-        """Has every request under way sent once more now: the store has come back.
+    def resend_all(self) -> None:
+        """Sends another copy of every request in flight at once, because the store has recovered.
 
-        What was sent before may have met the outage and be lost.
+        Copies that were sent before may have been lost in the outage.
         """
-        self._returned.set_result(None)
-        self._returned = asyncio.get_running_loop().create_future()
+        self._recovered.set_result(None)
+        self._recovered = asyncio.get_running_loop().create_future()
 
     async def pause(self, seconds: float) -> None:
-        """Waits, at most until the store has come back."""
-        await asyncio.wait({self._returned}, timeout=seconds)
+        """Waits, at most until the store has recovered from an outage."""
+        await asyncio.wait({self._recovered}, timeout=seconds)
 
     async def first_answer(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
-        """Returns the first result that a copy of the request brings.
+        """Returns the result of the first copy of the request that succeeds.
 
         Args:
-          call: Sends one copy; each has a connection of its own.
+          call: Sends one copy, on a connection of its own.
 
         Raises:
-          StoreError: what the last copy brought, if none has a result; at once if the store refuses
-            the request for good.
+          StoreError: The error of the last copy, if none succeeds; or a final refusal, at once.
         """
-        # In the order in which they were sent.
+        # Ordered by the time at which they were sent.
         copies: list[asyncio.Task[T]] = []
         done: list[asyncio.Task[T]] = []
         sent = 0
         try:
             while True:
-                # After a refusal nothing is sent while an earlier copy may still be answered: a
-                # store that turns requests away would be sent one after the other.
+                # After a refusal no copy is sent while an earlier one may still be answered:
+                # otherwise a store that refuses requests would receive one copy after another.
                 if not done and len(copies) < MAX_COPIES:
                     copies.append(self._send(call, is_hedge=sent > 0))
                     sent += 1
-                returned = self._returned
+                recovered = self._recovered
                 done = await self._wait(copies, self.times.wait_ms(sent))
                 copies = [copy for copy in copies if copy not in done]
-                if returned.done() and not done and len(copies) == MAX_COPIES:
-                    # All met the outage and may be lost in it. Were they waited for, the request
-                    # would be answered up to one time limit after the store's return.
+                if recovered.done() and not done and len(copies) == MAX_COPIES:
+                    # All copies were sent during the outage and may be lost. The oldest one makes
+                    # room for a new one: waiting for them would delay the answer by up to one
+                    # timeout after the store's recovery.
                     copies.pop(0).cancel()
                 for copy in done:
                     error = copy.exception()
@@ -92,13 +94,13 @@
         if is_hedge:
             self._on_hedge()
         copy = asyncio.get_running_loop().create_task(self._timed(call))
-        # Another copy may have brought the result first.
-        copy.add_done_callback(forget_error)
+        # Nothing retrieves the exception of a copy if another one succeeds first.
+        copy.add_done_callback(ignore_error)
         return copy
 
     async def _wait(self, copies: list[asyncio.Task[T]], limit_ms: float) -> list[asyncio.Task[T]]:
-        """Returns the copies that are done, none when it is time for another one."""
-        waited: set[asyncio.Future[Any]] = {*copies, self._returned}
+        """Returns the copies that are done; none if it is time to send another one."""
+        waited: set[asyncio.Future[Any]] = {*copies, self._recovered}
         await asyncio.wait(waited, timeout=limit_ms / 1000, return_when=asyncio.FIRST_COMPLETED)
         return [copy for copy in copies if copy.done()]
 
--- a/src/quincespool/gateway/store/interface.py
+++ b/src/quincespool/gateway/store/interface.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the store that lasts; the adapter of a platform implements it."""
+"""The interface of the durable store that the gateway needs; implemented by platform adapters."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class StoreError(Exception):
-    """A request to the store brought no result.
+    """A request to the store failed.
 
     Attributes:
-      refused: Whether the store said that nothing was done; otherwise it may be done yet.
-      final: Whether the same request will meet the same refusal, however often it is sent.
+      refused: Whether the store answered that it did not execute the request; if False, the request
+        may still be executed.
+      final: Whether retries of the same request would always be refused too.
     """
 
     final = False
@@ -29,7 +30,7 @@
 
 
 class FencedError(StoreError):
-    """A writer with a higher epoch has taken the partition over."""
+    """A writer with a higher epoch has taken over the partition."""
 
     final = True
 
@@ -38,7 +39,11 @@
 
 
 class SequenceError(StoreError):
-    """The append does not follow the last one of this writer."""
+    """The sequence number of an append does not follow that of this writer's last append.
+
+    Attributes:
+      expected: The sequence number that the store expects.
+    """
 
     final = True
 
@@ -48,31 +53,42 @@
 
 
 class ExpiredError(StoreError):
-    """The records asked for are no longer retained."""
+    """The requested records are no longer retained.
+
+    Attributes:
+      first_offset: Offset of the first record that is retained.
+    """
 
     final = True
 
     def __init__(self, first_offset: int) -> None:
-        super().__init__(f"records before {first_offset} are gone", refused=True)
+        super().__init__(
+            f"records before offset {first_offset} are no longer retained", refused=True
+        )
         self.first_offset = first_offset
 
 
-class FullError(StoreError):
-    """The store has no room for an append; it answers everything else."""
+class StoreFullError(StoreError):
+    """The store has no room for an append; it still serves all other requests."""
 
     def __init__(self) -> None:
         super().__init__("the store is full", refused=True)
 
 
 class Page(NamedTuple):
-    """Records from one read; the first one stands at the offset that was asked for."""
+    """Records from one read; the first one is at the requested offset.
+
+    Attributes:
+      end_offset: Offset from which to read on.
+      records: The records, in order.
+    """
 
     end_offset: int
     records: list[bytes]
 
 
 class KeyedRecord(NamedTuple):
-    """The newest record of a key; no value means that the key was dropped."""
+    """The newest record of a key; a value of None means that the key was deleted."""
 
     key: str
     value: bytes | None
@@ -80,62 +96,76 @@
 
 
 class KeyedPage(NamedTuple):
-    """Records of a keyed topic and the offset from which to read on."""
+    """Records of a keyed topic.
+
+    Attributes:
+      end_offset: Offset from which to read on.
+      records: The records, in order.
+    """
 
     end_offset: int
     records: list[KeyedRecord]
 
 
 class Assignment(NamedTuple):
-    """The partitions that a member of a group holds, as of a generation."""
+    """The partitions that are assigned to a member of a group in one generation of the group."""
 
     generation: int
     partitions: frozenset[Partition]
 
 
 class Store(Protocol):
-    """The store. Every method raises `StoreError`."""
+    """The durable store.
+
+    Every method raises `StoreError` if the request fails; `Raises` sections name its subclasses.
+    """
 
     async def append(
         self, partition: Partition, records: list[bytes], *, epoch: int, sequence: int
     ) -> int:
-        """Appends all records or none under a writer's epoch; returns the new end.
+        """Appends all records or none under a writer's epoch; returns the new end offset.
 
-        With no records it only sets the epoch. The same sequence number again is harmless.
+        Without records it only sets the epoch. Repeating an append with the same sequence number is
+        harmless.
 
         Raises:
-          FencedError: if a higher epoch was seen.
-          SequenceError: if the sequence number does not follow the last one.
+          FencedError: If the store has seen a higher epoch.
+          SequenceError: If the sequence number does not follow the last one.
         """
 
     async def append_keyed(self, topic: str, key: str, value: bytes | None) -> None:
-        """Appends the newest record of a key, or drops the key."""
+        """Appends a record as the newest of its key; a value of None deletes the key."""
 
     async def read(self, partition: Partition, from_offset: int) -> Page:
-        """Returns records from an offset on; none if it is the end.
+        """Returns records from an offset on; none if the offset is the end.
 
         Raises:
-          ExpiredError: if they are no longer retained.
+          ExpiredError: If the records are no longer retained.
         """
 
     async def trim(self, partition: Partition, before: int) -> None:
         """Deletes the records before an offset."""
 
     async def read_keyed(self, topic: str, from_offset: int, *, wait_ms: int) -> KeyedPage:
-        """Returns the records of a keyed topic from an offset on, waiting for the first one.
+        """Returns the records of a keyed topic from an offset on.
+
+        Args:
+          topic: The topic.
+          from_offset: Offset of the first record to return.
+          wait_ms: How long to wait for the first record; 0 to return at once.
 
         Raises:
-          ExpiredError: if they are no longer retained.
+          ExpiredError: If the records are no longer retained.
         """
 
     async def read_newest(self, topic: str) -> KeyedPage:
         """Returns the newest record of each key."""
 
     async def join(self, topics: list[str], *, member_id: str, generation: int) -> Assignment:
-        """Joins the group of owners or stays in it."""
+        """Joins the group of partition owners, or renews the membership."""
 
     async def leave(self, member_id: str) -> None:
-        """Leaves the group, so that others get its partitions at once."""
+        """Leaves the group, so that its partitions are assigned to other members at once."""
 
     async def owners(self) -> frozenset[str]:
-        """Returns the member ids of the group that hold partitions."""
+        """Returns the ids of the group's members that hold partitions."""
--- a/src/quincespool/gateway/turns/confirmation.py
+++ b/src/quincespool/gateway/turns/confirmation.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from quincespool.gateway.futures import forget_error
+from quincespool.gateway.futures import ignore_error
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +26,7 @@
         if self._next is None:
             work = self._ask_after(self._running)
             self._next = asyncio.get_running_loop().create_task(work)
-            self._next.add_done_callback(forget_error)
+            self._next.add_done_callback(ignore_error)
         await asyncio.shield(self._next)
 
     async def _ask_after(self, running: asyncio.Task[None] | None) -> None:
--- a/src/quincespool/gateway/turns/finder.py
+++ b/src/quincespool/gateway/turns/finder.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.messages import FindTurn
 from quincespool.gateway.members.messages import PartitionClaim
 from quincespool.gateway.members.messages import TurnAbsent
@@ -99,7 +99,7 @@
     def on_message(self, link: Link, message: FinderMessage) -> None:
         """Takes a question or an answer of another daemon."""
         if isinstance(message, FindTurn):
-            start_kept(self._answer(link, message), self._tasks)
+            start_background_task(self._answer(link, message), self._tasks)
             return
         search = self._searches.get(message.find_id)
         if search is None:
--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -12,8 +12,8 @@
 
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.first_seen import FirstSeen
-from quincespool.gateway.futures import forget_error
-from quincespool.gateway.futures import report_fault
+from quincespool.gateway.futures import ignore_error
+from quincespool.gateway.futures import report_exception
 from quincespool.gateway.store.interface import ExpiredError
 from quincespool.gateway.store.interface import FencedError
 from quincespool.gateway.store.interface import SequenceError
@@ -142,7 +142,7 @@
         """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         # Nobody may wait for the outcome any more; that is no forgotten error.
-        future.add_done_callback(forget_error)
+        future.add_done_callback(ignore_error)
         replaces = replaced_count(record)
         waiting = WaitingRecord(encode_record(record), record.program_id, future, urgent, replaces)
         if self.lost:
@@ -197,7 +197,7 @@
 
         if self.ledger.expire(wall_ms, grace_ms=grace_ms, known_ms=known_ms):
             self.uncertain.forget_others(self.ledger.programs)
-            self._seen.forget_others(self.ledger.programs)
+            self._seen.retain(self.ledger.programs)
 
     def needless_before(self, least_bytes: int) -> int | None:
         """Returns the offset before which no record is needed, None if that frees too little."""
@@ -296,7 +296,7 @@
             self.lose(f"sequence {error.expected} expected, {self._sequence} sent")
         except Exception as error:
             # Whoever takes the partition over begins anew; nothing would be written here any more.
-            report_fault("partition failed", error)
+            report_exception("partition failed", error)
             if not self.ready:
                 await asyncio.sleep(FAULT_PAUSE_S)
             self.lose(f"failed: {error!r}")
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from quincespool.gateway.clock import now_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.members.messages import RelayCall
 from quincespool.gateway.members.messages import RelayCancel
 from quincespool.gateway.members.messages import RelayEnd
@@ -209,7 +209,7 @@
             if task is not None:
                 task.cancel()
         elif isinstance(message, SettleTurn):
-            start_kept(self._settle_for(link, message), self._settling_for)
+            start_background_task(self._settle_for(link, message), self._settling_for)
         elif isinstance(message, TurnSettled):
             future = self._settling.pop(message.settle_id, None)
             if future is not None and not future.done():
@@ -296,7 +296,9 @@
             # One that is about to leave the group has another owner soon.
             reply.refuse(not_run(NOT_OWNER))
             return
-        task = start_kept(self._run_for(call, terms, owned, reply, until_ms), self._tasks)
+        task = start_background_task(
+            self._run_for(call, terms, owned, reply, until_ms), self._tasks
+        )
         key = (link, message.relay_id)
         self._serving[key] = task
         task.add_done_callback(lambda _: self._serving.pop(key, None))
--- a/src/quincespool/gateway/turns/renewal.py
+++ b/src/quincespool/gateway/turns/renewal.py
@@ -60,7 +60,7 @@
 
     def forget_others(self, program_ids: set[str]) -> None:
         """Forgets programs but these."""
-        self._seen.forget_others(program_ids)
+        self._seen.retain(program_ids)
 
     def _is_due(self, program_id: str, program: Program, wall_ms: int, now_ms: int) -> bool:
         known_ms = self._seen.age_ms(program_id, program.oldest_ms, now_ms)
--- a/src/quincespool/gateway/turns/trimming.py
+++ b/src/quincespool/gateway/turns/trimming.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.store.interface import StoreError
 from quincespool.gateway.turns.settlement import LostPartitionError
 
@@ -38,7 +38,7 @@
         before = owned.needless_before(least_bytes)
         if before is not None and owned not in self._under_way:
             self._under_way.add(owned)
-            start_kept(self._trim(owned, before), self._tasks)
+            start_background_task(self._trim(owned, before), self._tasks)
 
     async def _trim(self, owned: OwnedPartition, before: int) -> None:
         try:
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -9,7 +9,7 @@
 
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.clock import wall_ms
-from quincespool.gateway.futures import start_kept
+from quincespool.gateway.futures import start_background_task
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.turns.ledger import MAX_PART_BYTES
 from quincespool.gateway.turns.ledger import TurnBroken
@@ -191,7 +191,7 @@
                 at_ms=wall_ms(),
             )
             kept = self._owned.submit(record)
-            start_kept(self._settle_broken(kept, record), self._services.settling)
+            start_background_task(self._settle_broken(kept, record), self._services.settling)
 
     @property
     def _start_is_kept(self) -> bool:
--- a/src/quincespool/platform/requests.py
+++ b/src/quincespool/platform/requests.py
@@ -16,7 +16,7 @@
 from quincespool.gateway.model import Refusal
 from quincespool.gateway.model import Turn
 from quincespool.gateway.model import digest_key
-from quincespool.gateway.platform_codec import AddressQuestion
+from quincespool.gateway.platform_codec import AddressRequest
 from quincespool.gateway.platform_codec import AnswerHead
 from quincespool.net.requests import RequestError
 
@@ -116,12 +116,12 @@
     return dict(request.headers).get("request-id", "")
 
 
-def read_address_question(request: HttpRequest) -> AddressQuestion | None:
+def read_address_request(request: HttpRequest) -> AddressRequest | None:
     """Returns what a caller asks of the directory, None if it is something else."""
     parts = urlsplit(request.target)
     if request.method != "GET" or parts.path != "/resolve":
         return None
-    return AddressQuestion(zone=parse_qs(parts.query).get("zone", [""])[0])
+    return AddressRequest(zone=parse_qs(parts.query).get("zone", [""])[0])
 
 
 def write_addresses(addresses: list[str], valid_ms: int) -> bytes:
@@ -129,7 +129,7 @@
     return msgspec.json.encode({"addresses": addresses, "ttl_s": valid_ms / 1000})
 
 
-def is_readiness_question(request: HttpRequest) -> bool:
+def is_readiness_request(request: HttpRequest) -> bool:
     """Whether the platform asks if the daemon is ready."""
     return request.method == "GET" and request.target.partition("?")[0] == "/ready"
 
--- a/src/quincespool/platform/serve.py
+++ b/src/quincespool/platform/serve.py
@@ -32,6 +32,6 @@
 
     log = DecisionLog(asyncio.get_running_loop().time)
     daemon = GatewayDaemon(
-        settings, load_settings=load_settings, make_store=make_store, wire=wire, log=log
+        settings, load_settings=load_settings, make_store=make_store, codec=wire, log=log
     )
     await daemon.run()
--- a/src/quincespool/platform/store.py
+++ b/src/quincespool/platform/store.py
@@ -15,13 +15,13 @@
 from quincespool.gateway.store.interface import Assignment
 from quincespool.gateway.store.interface import ExpiredError
 from quincespool.gateway.store.interface import FencedError
-from quincespool.gateway.store.interface import FullError
 from quincespool.gateway.store.interface import KeyedPage
 from quincespool.gateway.store.interface import KeyedRecord
 from quincespool.gateway.store.interface import Page
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.store.interface import SequenceError
 from quincespool.gateway.store.interface import StoreError
+from quincespool.gateway.store.interface import StoreFullError
 from quincespool.net.http_channel import Channel
 from quincespool.net.http_channel import ChannelError
 
@@ -231,7 +231,7 @@
     if answer.status == 410:
         return ExpiredError(_decode_refusal(answer, _Gone()).first)
     if answer.status == 507:
-        return FullError()
+        return StoreFullError()
     detail = answer.body[:200].decode("utf-8", "replace")
     return StoreError(f"status {answer.status}: {detail}", refused=True)
 
--- a/src/quincespool/platform/wire.py
+++ b/src/quincespool/platform/wire.py
@@ -10,8 +10,8 @@
 from quincespool.platform.entries import read_configuration
 from quincespool.platform.entries import read_daemon
 from quincespool.platform.entries import write_daemon
-from quincespool.platform.requests import is_readiness_question
-from quincespool.platform.requests import read_address_question
+from quincespool.platform.requests import is_readiness_request
+from quincespool.platform.requests import read_address_request
 from quincespool.platform.requests import read_answer_head
 from quincespool.platform.requests import read_call
 from quincespool.platform.requests import read_call_id
@@ -24,8 +24,8 @@
     "CONFIGURATION_KEY",
     "CONFIGURATION_TOPIC",
     "DAEMONS_TOPIC",
-    "is_readiness_question",
-    "read_address_question",
+    "is_readiness_request",
+    "read_address_request",
     "read_answer_head",
     "read_backend",
     "read_call",
--- a/tests/gateway/accounts/test_accounts.py
+++ b/tests/gateway/accounts/test_accounts.py
@@ -139,7 +139,7 @@
         cluster.configure(3, accounts=_accounts())
         await _wait_for(cluster, 3)
         older = read_configuration(make_configuration(2, accounts=_accounts()))
-        beliefs = cluster.nodes["a"].daemon._beliefs
+        beliefs = cluster.nodes["a"].daemon._cluster_view
         beliefs.adopt_copy(older, "b")
         assert beliefs.configuration_version == 3
 
@@ -180,6 +180,6 @@
 def _program(cluster: GatewayCluster, node: str, account: str) -> str:
     """Returns the id of a program of an account whose partition a daemon owns."""
     daemon = cluster.nodes[node].daemon
-    partition_for, owned = daemon._parts.relay._partition_for, daemon._ownership.owned
+    partition_for, owned = daemon._program_components.relay._partition_for, daemon._ownership.owned
     ids = (f"p{number}" for number in range(200))
     return next(one for one in ids if partition_for(scoped_program(account, one)) in owned)
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -38,7 +38,7 @@
 
 
 def _limits(cluster: GatewayCluster, name: str) -> AccountLimits:
-    return cluster.nodes[name].daemon._parts.limits
+    return cluster.nodes[name].daemon._program_components.limits
 
 
 def _home(cluster: GatewayCluster) -> str:
@@ -184,7 +184,7 @@
         await _configure(cluster, 2, rate_per_s=0.1)
         told: list[bool] = []
         for node in cluster.nodes.values():
-            admission = node.daemon._parts.admission
+            admission = node.daemon._program_components.admission
             admission.refuse = lambda _, terms, __: told.append(terms.is_near_limit)  # type: ignore[assignment,method-assign]
         await cluster.turn("a", "north-1", key="k")
         await _calls(cluster, "ab", BURST - 8)
--- a/tests/gateway/callers/test_handler_faults.py
+++ b/tests/gateway/callers/test_handler_faults.py
@@ -21,13 +21,13 @@
 
 
 def _owner_and_other(cluster: GatewayCluster, program_id: str) -> tuple[str, str]:
-    partition = cluster.nodes["a"].daemon._parts.relay._partition_for(program_id)
+    partition = cluster.nodes["a"].daemon._program_components.relay._partition_for(program_id)
     owner = "a" if partition in cluster.nodes["a"].daemon._ownership.owned else "b"
     return owner, "b" if owner == "a" else "a"
 
 
 def _relay(node: Node) -> Any:
-    return node.daemon._parts.relay
+    return node.daemon._program_components.relay
 
 
 async def test_a_fault_before_the_answer_is_answered_as_one_that_may_have_run(
@@ -111,6 +111,8 @@
         def fail(*_: object) -> None:
             raise KeyError("x")
 
-        monkeypatch.setattr(cluster.nodes[owner].daemon._parts.finder, "on_message", fail)
-        await cluster.nodes[other].daemon._parts.finder.find("none", "")
+        monkeypatch.setattr(
+            cluster.nodes[owner].daemon._program_components.finder, "on_message", fail
+        )
+        await cluster.nodes[other].daemon._program_components.finder.find("none", "")
         assert (await turn)[1].status == 200
--- a/tests/gateway/callers/test_unanswered.py
+++ b/tests/gateway/callers/test_unanswered.py
@@ -35,7 +35,7 @@
             engine.knobs.gap_ms = 1_000
         calling = asyncio.create_task(cluster.call("a", "idempotent"))
         await cluster.until(cluster.all_runs)
-        await cluster.nodes["a"].daemon._front_port.cut_off()
+        await cluster.nodes["a"].daemon._caller_port.cut_off()
         assert (await calling).status == 502
     assert [line["outcome"] for line in _lines(caplog, "call answered")] == ["cut_off"]
 
@@ -66,7 +66,7 @@
         writer.write(first.encode())
         await cluster.until(cluster.all_runs)
         cluster.nodes["a"].daemon.begin_stop()
-        (connection,) = cluster.nodes["a"].daemon._front_port._connections
+        (connection,) = cluster.nodes["a"].daemon._caller_port._connections
         # What is sent from here on waits in the socket while the answer is written.
         connection._transport.pause_reading()
         writer.write(second.encode())
@@ -80,14 +80,14 @@
 ) -> None:
     async with GatewayCluster(1) as cluster:
         daemon = cluster.nodes["a"].daemon
-        admit = daemon._parts.limits.admit
+        admit = daemon._program_components.limits.admit
 
         async def admit_late(call: Call, decision: Decision, *, until_ms: int) -> Permit:
             daemon.begin_stop()
-            daemon._stop._last_ms = now_ms()
+            daemon._planned_stop._deadline_ms = now_ms()
             return await admit(call, decision, until_ms=until_ms)
 
-        monkeypatch.setattr(daemon._parts.limits, "admit", admit_late)
+        monkeypatch.setattr(daemon._program_components.limits, "admit", admit_late)
         reply = await cluster.call("a", "non_idempotent")
         assert reply.status == 503
         assert cluster.all_runs() == []
@@ -99,7 +99,7 @@
     caplog.set_level("INFO")
     async with GatewayCluster(1) as cluster:
         daemon = cluster.nodes["a"].daemon
-        run = daemon._parts.relay.run
+        run = daemon._program_components.relay.run
 
         async def run_and_end(
             call: Call, terms: TurnParameters, reply: Reply, *, until_ms: int
@@ -107,7 +107,7 @@
             await run(call, terms, reply, until_ms=until_ms)
             raise asyncio.CancelledError
 
-        monkeypatch.setattr(daemon._parts.relay, "run", run_and_end)
+        monkeypatch.setattr(daemon._program_components.relay, "run", run_and_end)
         _, answer = await cluster.turn("a", "p")
         assert answer.status == 200
     assert [line["outcome"] for line in _lines(caplog, "call answered")] == ["whole"]
@@ -134,7 +134,7 @@
         raise KeyError("x")
 
     async with GatewayCluster(1) as cluster:
-        monkeypatch.setattr(cluster.nodes["a"].daemon._parts.relay, "run", fail)
+        monkeypatch.setattr(cluster.nodes["a"].daemon._program_components.relay, "run", fail)
         with contextlib.suppress(ConnectionLostError):
             await cluster.turn("a", "p", call_id="t1")
     assert [line["call_id"] for line in _lines(caplog, "call failed")] == ["t1"]
--- a/tests/gateway/gateway_cluster.py
+++ b/tests/gateway/gateway_cluster.py
@@ -52,7 +52,7 @@
             settings,
             load_settings=lambda: settings,
             make_store=self._make_store,
-            wire=wire,
+            codec=wire,
             log=DecisionLog(asyncio.get_running_loop().time),
         )
 
--- a/tests/gateway/store/test_hedged_calls.py
+++ b/tests/gateway/store/test_hedged_calls.py
@@ -89,7 +89,7 @@
     running = asyncio.create_task(hedged.first_answer(script.call))
     await asyncio.sleep(0.01)
     assert script.sent == 1
-    hedged.wake()
+    hedged.resend_all()
     async with asyncio.timeout(0.2):
         assert await running == "done"
 
@@ -106,7 +106,7 @@
     async with asyncio.timeout(2.0):
         while script.sent < MAX_COPIES:
             await asyncio.sleep(0.01)
-    hedged.wake()
+    hedged.resend_all()
     async with asyncio.timeout(0.3):
         assert await running == "done"
 
@@ -138,6 +138,6 @@
     hedged = _make_hedged()
     pausing = asyncio.create_task(hedged.pause(10.0))
     await asyncio.sleep(0)
-    hedged.wake()
+    hedged.resend_all()
     async with asyncio.timeout(0.2):
         await pausing
--- a/tests/gateway/store/test_store_away.py
+++ b/tests/gateway/store/test_store_away.py
@@ -88,7 +88,7 @@
         program = next(
             name
             for name in (f"p{number}" for number in range(100))
-            if daemon._parts.relay._partition_for(name) in daemon._ownership.owned
+            if daemon._program_components.relay._partition_for(name) in daemon._ownership.owned
         )
         await cluster.turn("a", program)
         await cluster.lose_store("a")
--- a/tests/gateway/store/test_store_room.py
+++ b/tests/gateway/store/test_store_room.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from quincespool.gateway.decision_log import DecisionLog
-from quincespool.gateway.store.cluster_view import FULL_MEMORY_MS
+from quincespool.gateway.store.cluster_view import FULL_STATUS_HOLD_MS
 from quincespool.gateway.store.cluster_view import StoreHealth
 
 
 def test_a_full_store_is_not_said_to_have_room_for_what_it_answers_besides() -> None:
     at_ms = 0
-    health = StoreHealth(DecisionLog(lambda: 0.0), lambda: at_ms, on_return=lambda: None)
+    health = StoreHealth(DecisionLog(lambda: 0.0), lambda: at_ms, on_recovery=lambda: None)
     health.record_status("507")
     health.record_status("200")
     assert health.full
     assert health.reachable
-    at_ms = FULL_MEMORY_MS
+    at_ms = FULL_STATUS_HOLD_MS
     health.record_status("200")
     assert not health.full
--- a/tests/gateway/test_changes_under_way.py
+++ b/tests/gateway/test_changes_under_way.py
@@ -65,7 +65,7 @@
 
 def _hang_up(cluster: GatewayCluster) -> None:
     for node in cluster.nodes.values():
-        node.daemon._live.reload()
+        node.daemon._live_settings.reload()
     cluster.configure(2)
 
 
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -89,10 +89,10 @@
     return PlannedStop(
         ownership=cast("Ownership", _Ownership(took_over_ms)),
         presence=cast("Presence", quiet),
-        front_port=cast("HttpPort", port),
+        caller_port=cast("HttpPort", port),
         relay=cast("Relay", relay or quiet),
         members=members or Members("a"),
-        live=cast("LiveSettings", live),
+        live_settings=cast("LiveSettings", live),
         log=cast("DecisionLog", quiet),
     )
 
@@ -108,11 +108,11 @@
 
 async def test_only_calls_that_end_before_the_stop_does_are_taken() -> None:
     stop = _make_stop(_Port())
-    assert stop.leaves_time_until(now_ms() + 60_000)
+    assert stop.allows_deadline(now_ms() + 60_000)
     stop.begin()
     last_ms = now_ms() + int(TIME_MS)
-    assert stop.leaves_time_until(last_ms - 10)
-    assert not stop.leaves_time_until(last_ms + 10)
+    assert stop.allows_deadline(last_ms - 10)
+    assert not stop.allows_deadline(last_ms + 10)
 
 
 async def test_a_stop_waits_until_records_of_its_turns_are_settled() -> None:
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -163,7 +163,7 @@
 class _SingleCalls:
     """Sends each request once, in the place of `HedgedRequests`."""
 
-    async def first(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    async def first_answer(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
         return await call()
 
     async def pause(self, seconds: float) -> None:
--- a/tests/gateway/turns/test_imported_histories.py
+++ b/tests/gateway/turns/test_imported_histories.py
@@ -23,7 +23,9 @@
     daemon = cluster.nodes[node].daemon
     ids = (f"p{number}" for number in range(100))
     return next(
-        one for one in ids if daemon._parts.relay._partition_for(one) in _owned(cluster, node)
+        one
+        for one in ids
+        if daemon._program_components.relay._partition_for(one) in _owned(cluster, node)
     )
 
 
@@ -38,12 +40,14 @@
         there, here = _program_of(cluster, "b"), _program_of(cluster, "a")
         first, _ = await cluster.turn("a", there, body=b"one|")
         daemon = cluster.nodes["a"].daemon
-        finder = daemon._parts.finder
+        finder = daemon._program_components.finder
         find = finder.find
 
         async def find_and_lose(turn_id: str, account: str) -> FoundTurn | None:
             found = await find(turn_id, account)
-            _owned(cluster, "a")[daemon._parts.relay._partition_for(here)].lose("leaving")
+            _owned(cluster, "a")[daemon._program_components.relay._partition_for(here)].lose(
+                "leaving"
+            )
             return found
 
         monkeypatch.setattr(finder, "find", find_and_lose)
@@ -75,7 +79,7 @@
     async with GatewayCluster() as cluster:
         program = _program_of(cluster, "a")
         daemon = cluster.nodes["a"].daemon
-        owned = _owned(cluster, "a")[daemon._parts.relay._partition_for(program)]
+        owned = _owned(cluster, "a")[daemon._program_components.relay._partition_for(program)]
         submit = owned.submit
 
         def submit_and_lose(record: Record, *, urgent: bool = True) -> asyncio.Future[None]:
@@ -92,6 +96,6 @@
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.full = False
         await cluster.until(cluster.is_settled)
-        await cluster.until(lambda: not daemon._parts.turns.settling)
+        await cluster.until(lambda: not daemon._program_components.turns.settling)
         _, reply = await cluster.turn("b", program, budget=100, most=60)
         assert reply.status == 200
--- a/tests/gateway/turns/test_lost_histories.py
+++ b/tests/gateway/turns/test_lost_histories.py
@@ -33,7 +33,7 @@
 def _drop_oldest(cluster: GatewayCluster, program: str) -> None:
     """Has the store forget the first turn of a program that is alone in its partition."""
     daemon = next(iter(cluster.nodes.values())).daemon
-    partition = daemon._parts.relay._partition_for(program)
+    partition = daemon._program_components.relay._partition_for(program)
     cluster.state.partition(*partition).drop(RECORDS_A_TURN)
 
 
@@ -162,7 +162,9 @@
 
 def _owned(cluster: GatewayCluster, program: str) -> OwnedPartition:
     for node in cluster.nodes.values():
-        owned = node.daemon._ownership.owned.get(node.daemon._parts.relay._partition_for(program))
+        owned = node.daemon._ownership.owned.get(
+            node.daemon._program_components.relay._partition_for(program)
+        )
         if owned is not None:
             return owned
     raise AssertionError(program)
@@ -260,7 +262,7 @@
 async def test_a_turn_found_while_its_owner_loses_the_partition_is_not_denied() -> None:
     async with GatewayCluster(1) as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
-        finder = cluster.nodes["a"].daemon._parts.finder
+        finder = cluster.nodes["a"].daemon._program_components.finder
         owned = _owned(cluster, "p2")
         find = finder.find
 
@@ -279,7 +281,7 @@
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         program = next(f"q{n}" for n in range(100) if _owned(cluster, f"q{n}") in _of(cluster, "a"))
-        finder = cluster.nodes["a"].daemon._parts.finder
+        finder = cluster.nodes["a"].daemon._program_components.finder
         find = finder.find
 
         async def find_last(turn_id: str, account: str) -> FoundTurn | None:
--- a/tests/gateway/turns/test_programs.py
+++ b/tests/gateway/turns/test_programs.py
@@ -149,7 +149,7 @@
     """
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
-        relay = cluster.nodes["b"].daemon._parts.relay
+        relay = cluster.nodes["b"].daemon._program_components.relay
         handed_over: list[object] = []
         owner = cluster.nodes["b"].daemon._members.entries["a"]
 
@@ -238,7 +238,7 @@
 
 def _owns(cluster: GatewayCluster, name: str, program: str) -> bool:
     daemon = cluster.nodes[name].daemon
-    return daemon._parts.relay._partition_for(program) in daemon._ownership.owned
+    return daemon._program_components.relay._partition_for(program) in daemon._ownership.owned
 
 
 async def test_a_daemon_that_outlives_all_others_serves_alone() -> None:
@@ -308,9 +308,9 @@
 async def test_an_owner_that_stops_takes_no_turn_that_it_could_not_end() -> None:
     async with GatewayCluster(2) as cluster:
         program = next(one for one in map(str, itertools.count()) if _owns(cluster, "b", one))
-        stop = cluster.nodes["b"].daemon._stop
+        stop = cluster.nodes["b"].daemon._planned_stop
         stop.begin()
-        stop._last_ms = now_ms() + 1_000
+        stop._deadline_ms = now_ms() + 1_000
         call_id, reply = await cluster.turn("a", program)
         assert reply.status == 503
         assert not cluster.runs(call_id)
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -216,5 +216,6 @@
     return next(
         program
         for program in (f"p{number}" for number in range(200))
-        if daemon._ownership.serving(daemon._parts.relay._partition_for(program)) is not None
+        if daemon._ownership.serving(daemon._program_components.relay._partition_for(program))
+        is not None
     )
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -9,7 +9,7 @@
 from quincespool.gateway.model import may_have_run
 from quincespool.gateway.model import not_run
 from quincespool.net.requests import HttpRequest
-from quincespool.platform.requests import read_address_question
+from quincespool.platform.requests import read_address_request
 from quincespool.platform.requests import read_answer_head
 from quincespool.platform.requests import read_call
 from quincespool.platform.requests import write_addresses
@@ -156,7 +156,7 @@
 
 def test_the_directory_is_asked_and_answered() -> None:
     target = "/resolve?name=ficu95.example&region=addis&zone=bole"
-    question = read_address_question(HttpRequest("GET", target, (), b""))
+    question = read_address_request(HttpRequest("GET", target, (), b""))
     assert question is not None
     assert question.zone == "bole"
     assert write_addresses(["10.1.0.38:8149"], 2000) == (
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -8,11 +8,11 @@
 
 from quincespool.gateway.store.interface import ExpiredError
 from quincespool.gateway.store.interface import FencedError
-from quincespool.gateway.store.interface import FullError
 from quincespool.gateway.store.interface import KeyedRecord
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.store.interface import SequenceError
 from quincespool.gateway.store.interface import StoreError
+from quincespool.gateway.store.interface import StoreFullError
 from quincespool.platform.store import PlatformStore
 from tests.support.standins.platform_store import PlatformStoreStandIn
 from tests.support.standins.platform_store import make_platform_store
@@ -105,7 +105,7 @@
         client = _client(store)
         store.state.total_bytes = 18
         await client.append(PARTITION, [b"12345"] * 2, epoch=1, sequence=0)
-        with pytest.raises(FullError):
+        with pytest.raises(StoreFullError):
             await client.append(PARTITION, [b"12345"], epoch=1, sequence=1)
         await client.trim(PARTITION, 1)
         assert await client.append(PARTITION, [b"67890"], epoch=1, sequence=1) == 3
