--- a/tests/gateway/accounts/test_accounts.py
+++ b/tests/gateway/accounts/test_accounts.py
@@ -80,7 +80,7 @@
         cluster.configure(2, accounts=_accounts())
         await _wait_for(cluster, 2)
         statuses = [
-            (await cluster.turn("a", "p1", budget=30, most=30, key=key))[1].status
+            (await cluster.turn("a", "p1", budget=30, max_tokens=30, key=key))[1].status
             for key in ("key-north", "key-south", "key-north")
         ]
         assert statuses == [200, 200, 402]
@@ -127,7 +127,7 @@
     async with GatewayCluster() as cluster:
         cluster.configure(2, accounts=_accounts())
         await _wait_for(cluster, 2)
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         cluster.configure(3, accounts=_accounts(south=["key-south"]))
         await _wait_for(cluster, 3)
         assert (await cluster.call("a", "idempotent", key="key-second")).status == 401
@@ -171,7 +171,7 @@
         for key, program in (("key-north", north), ("key-south", south)):
             _, reply = await cluster.turn("a", program, key=key, call_id="t")
             assert reply.status == 200
-        await cluster.lose_node("b")
+        await cluster.crash_node("b")
         onward = _program(cluster, "a", "north")
         _, reply = await cluster.turn("a", onward, previous="t", key="key-north")
         assert reply.status != 404
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -116,7 +116,7 @@
     async with GatewayCluster(3) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
         assert _served(await _calls(cluster, "abc", BURST + 2)) == BURST
-        await cluster.lose_node(_home(cluster))
+        await cluster.crash_node(_home(cluster))
         left = "".join(cluster.nodes)
         assert _served(await _calls(cluster, left, 8)) <= FIRST_CALLS
         await cluster.until(cluster.is_settled)
--- a/tests/gateway/backends/test_crashes.py
+++ b/tests/gateway/backends/test_crashes.py
@@ -75,7 +75,7 @@
             if state is None:
                 cluster.state.put("keyed.servers", engine.backend_id, None)
             else:
-                cluster.announce("s1", "plain", state=state)
+                cluster.write_backend_entry("s1", "plain", state=state)
             await cluster.until(functools.partial(_is_left, cluster, engine.backend_id))
             engine.cut_all()
             assert (await calling).status == 502
--- a/tests/gateway/callers/test_plain_calls.py
+++ b/tests/gateway/callers/test_plain_calls.py
@@ -36,7 +36,7 @@
 
 async def test_a_leaving_backend_server_gets_nothing_new() -> None:
     async with GatewayCluster(1) as cluster:
-        cluster.announce("s1", "plain", state="draining")
+        cluster.write_backend_entry("s1", "plain", state="draining")
         await asyncio.sleep(0.3)
         reply = await cluster.call("a", "idempotent")
 
--- a/tests/gateway/gateway_cluster.py
+++ b/tests/gateway/gateway_cluster.py
@@ -1,4 +1,4 @@
-"""Gateway daemons on one loop, before stand-ins of the store and of backend servers."""
+"""Gateway daemons on one event loop, with stand-ins for the store and for backend servers."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Node:
-    """One daemon and its own way to the store."""
+    """One daemon and the stand-in through which it reaches the store."""
 
     def __init__(self, settings: GatewaySettings, store: PlatformStoreStandIn) -> None:
         self.settings = settings
@@ -75,7 +75,7 @@
 
 
 class GatewayCluster:
-    """Daemons `a`, `b`, ...; two engines and one plain service."""
+    """A cluster of daemons `a`, `b`, ... with two engines and one plain backend server."""
 
     def __init__(self, count: int = 2, *, store_retention_s: float = 300.0) -> None:
         self.state = StoreState()
@@ -90,7 +90,7 @@
         for backend_id, service in (("e1", "model"), ("e2", "model"), ("s1", "plain")):
             engine = await self._stack.enter_async_context(make_platform_engine(backend_id))
             self.engines[backend_id] = engine
-            self.announce(backend_id, service)
+            self.write_backend_entry(backend_id, service)
         self.configure(1)
         for name in "abcdefgh"[: self._count]:
             await self.add_node(name)
@@ -105,12 +105,12 @@
     async def add_node(self, name: str) -> Node:
         """Starts a daemon."""
         store = await self._stack.enter_async_context(make_platform_store(self.state))
-        front, ready, directory, metrics, peer = _free_ports(5)
+        caller, ready, directory, metrics, peer = _free_ports(5)
         settings = GatewaySettings(
             member_id=name,
             zone="z",
             host="127.0.0.1",
-            caller_address=f"127.0.0.1:{front}",
+            caller_address=f"127.0.0.1:{caller}",
             ready_address=f"127.0.0.1:{ready}",
             directory_address=f"127.0.0.1:{directory}",
             metrics_port=metrics,
@@ -129,39 +129,39 @@
         return node
 
     def set_store(self, *names: str, down: bool) -> None:
-        """Has the store turn some daemons away, or take them again."""
+        """Sets whether the store refuses the requests of some daemons."""
         for name in names:
             self.nodes[name].store.knobs.down = down
 
-    async def lose_store(self, *names: str) -> None:
-        """Has the store turn some daemons away; returns when they have noticed."""
+    async def start_store_outage(self, *names: str) -> None:
+        """Makes the store refuse requests of some daemons; waits until they have noticed."""
         self.set_store(*names, down=True)
         await self.until(
             lambda: not any(self.nodes[name].daemon._store_health.reachable for name in names)
         )
 
-    async def lose_node(self, name: str) -> None:
-        """Ends a daemon as a crash does: nothing is handed over."""
+    async def crash_node(self, name: str) -> None:
+        """Stops a daemon as a crash would: it neither releases partitions nor drains."""
         node = self.nodes.pop(name)
         for one in list(node.daemon._ownership.owned.values()):
             one.lose("killed")
         node.daemon._ownership._wanted = False
         await node.daemon.close()
 
-    def announce(self, backend_id: str, service: str, *, state: str = "ready") -> None:
-        """Writes the entry of a backend server."""
+    def write_backend_entry(self, backend_id: str, service: str, *, state: str = "ready") -> None:
+        """Writes the entry of a backend server to the store."""
         address = self.engines[backend_id].address
         entry = make_backend_entry(service, address, zone="z", state=state)
         own_id = self.engines[backend_id].backend_id
         self.state.put("keyed.servers", own_id, entry)
 
     async def replace_engine(self, key: str, backend_id: str, service: str) -> None:
-        """Puts a new backend server in the place of one that has crashed."""
+        """Replaces a crashed backend server by a new one; waits until all daemons know it."""
         old_id = self.engines[key].backend_id
         self.state.put("keyed.servers", old_id, None)
         engine = await self._stack.enter_async_context(make_platform_engine(backend_id))
         self.engines[key] = engine
-        self.announce(key, service)
+        self.write_backend_entry(key, service)
         await self.until(
             lambda: all(backend_id in node.daemon._backends.entries for node in self.nodes.values())
         )
@@ -174,12 +174,12 @@
         accounts: list[dict[str, object]] | None = None,
         **changes: object,
     ) -> None:
-        """Writes a configuration; the changes are for the streaming route."""
+        """Writes a configuration; `changes` apply to the streaming route."""
         body = make_configuration(version, limits=limits, accounts=accounts, stream_changes=changes)
         self.state.put("keyed.op", "config", body)
 
     def is_settled(self) -> bool:
-        """Whether every partition has one owner that all daemons know."""
+        """Returns whether all daemons are ready, and each partition has one owner."""
         owned = [
             one
             for node in self.nodes.values()
@@ -193,10 +193,10 @@
         return known and ready and len({one.partition for one in owned}) == 8 == len(owned)
 
     async def until(self, condition: Callable[[], object], limit_s: float = 10.0) -> None:
-        """Waits for a condition.
+        """Waits until a condition is true.
 
         Raises:
-          TimeoutError: if it does not come true.
+          TimeoutError: If it is still false after `limit_s` seconds.
         """
         async with asyncio.timeout(limit_s):
             while not condition():
@@ -211,19 +211,19 @@
         call_id: str = "",
         body: bytes = b"hello",
         budget: int | None = None,
-        most: int = 30,
+        max_tokens: int = 30,
         deadline_ms: int = 3_000,
         key: str = "",
         on_data: Callable[[bytes], None] | None = None,
     ) -> tuple[str, Reply]:
-        """Sends a turn; returns its id and the answer."""
+        """Sends a turn; returns its call id and the reply."""
         call_id = call_id or f"turn-{next(self._ids)}"
         headers = {
             "Host": HOST_NAME,
             "Request-Id": call_id,
             "Deadline-Ms": str(deadline_ms),
             "Program-Id": program_id,
-            "Token-Usage": f"5,{most}",
+            "Token-Usage": f"5,{max_tokens}",
         }
         if previous:
             headers["Previous-Turn"] = previous
@@ -239,7 +239,7 @@
     async def call(
         self, node: str, kind: str, *, body: bytes = b"", key: str = "", program_id: str = ""
     ) -> Reply:
-        """Sends a plain call."""
+        """Sends a call that belongs to no program's history."""
         headers = {
             "Host": HOST_NAME,
             "Request-Id": f"call-{next(self._ids)}",
@@ -257,7 +257,7 @@
         return [run.body for run in self.all_runs() if run.call_id == call_id]
 
     def all_runs(self) -> list[Run]:
-        """Returns what backend servers ran."""
+        """Returns all calls that backend servers ran."""
         return [run for engine in self.engines.values() for run in engine.runs]
 
 
--- a/tests/gateway/store/test_hedged_calls.py
+++ b/tests/gateway/store/test_hedged_requests.py
@@ -1,4 +1,4 @@
-"""Requests to the store that are sent once more."""
+"""Hedged requests to the store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Script:
-    """Answers each copy as told; those beyond the script are never answered."""
+    """Answers each copy of a request by the next step; copies beyond the steps get no answer."""
 
     def __init__(self, *steps: Callable[[], Awaitable[str]]) -> None:
         self.sent = 0
@@ -56,11 +56,11 @@
     return HedgedRequests(on_hedge=lambda: None)
 
 
-async def test_a_lost_answer_is_made_up_for_by_another_copy() -> None:
-    """Symptom: every program of a partition waits 600 ms for the end of its turn.
+async def test_another_copy_is_sent_when_an_answer_is_lost() -> None:
+    """Programs of a partition must not wait 600 ms for the end of a turn when an answer is lost.
 
-    Events: the store appends a batch; its answer is lost and the connection says nothing more.
-    Cause: the next copy was sent only when the time limit of the first one had run out.
+    The store appends a batch, but its answer is lost and the connection stays silent. Another copy
+    must be sent before the timeout of the first one.
     """
     script = _Script(_silence, _answer)
     assert await _make_hedged().first_answer(script.call) == "done"
@@ -69,7 +69,7 @@
     assert script.open == 0
 
 
-async def test_a_silent_store_gets_few_copies() -> None:
+async def test_a_silent_store_receives_a_limited_number_of_copies() -> None:
     script = _Script()
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.3):
@@ -77,11 +77,11 @@
     assert script.sent == MAX_COPIES
 
 
-async def test_a_store_that_is_back_is_sent_another_copy_at_once() -> None:
-    """Symptom: turns end up to a second after the store's return.
+async def test_another_copy_is_sent_at_once_when_the_store_recovers() -> None:
+    """Turns must not end up to a second later than the store recovers.
 
-    Events: the store is silent; a batch is sent; the store comes back and never saw the batch.
-    Cause: the batch waited for an answer until its own limit.
+    A batch is sent while the store is silent and never reaches it. After the recovery it must not
+    wait for its own timeout.
     """
     hedged = _make_hedged()
     hedged.times.mean_ms = 10_000.0
@@ -94,11 +94,11 @@
         assert await running == "done"
 
 
-async def test_a_store_that_is_back_is_sent_a_copy_though_all_are_out() -> None:
-    """Symptom: after a silent outage turns end half a second later than the store's return.
+async def test_another_copy_is_sent_on_recovery_although_the_maximum_is_in_flight() -> None:
+    """After a silent outage, turns must not end half a second later than the store recovers.
 
-    Events: the store is silent; three copies of a batch go out within 100 ms; the store is back.
-    Cause: no copy is sent beyond the third until one has met its own time limit.
+    Three copies of a batch are sent within 100 ms while the store is silent. After the recovery,
+    another copy must be sent before one of the three reaches its own timeout.
     """
     hedged = _make_hedged()
     script = _Script(_silence, _silence, _silence, _answer)
@@ -111,7 +111,7 @@
         assert await running == "done"
 
 
-async def test_a_refusal_is_told_when_no_copy_is_left() -> None:
+async def test_a_refusal_is_raised_when_no_copy_is_in_flight() -> None:
     script = _Script(_refuse)
     with pytest.raises(StoreError):
         await _make_hedged().first_answer(script.call)
@@ -128,13 +128,13 @@
     assert script.sent <= MAX_COPIES
 
 
-async def test_a_final_refusal_is_told_at_once() -> None:
+async def test_a_final_refusal_is_raised_at_once() -> None:
     script = _Script(_silence, _fence)
     with pytest.raises(FencedError):
         await _make_hedged().first_answer(script.call)
 
 
-async def test_a_pause_ends_when_the_store_is_back() -> None:
+async def test_a_pause_ends_when_the_store_recovers() -> None:
     hedged = _make_hedged()
     pausing = asyncio.create_task(hedged.pause(10.0))
     await asyncio.sleep(0)
--- a/tests/gateway/store/test_store_room.py
+++ b/tests/gateway/store/test_store_health.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of the room in the store."""
+"""How a daemon detects that the store is full, or has room again."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from quincespool.gateway.store.cluster_view import StoreHealth
 
 
-def test_a_full_store_is_not_said_to_have_room_for_what_it_answers_besides() -> None:
+def test_a_store_stays_full_for_a_while_although_it_answers_other_requests() -> None:
     at_ms = 0
     health = StoreHealth(DecisionLog(lambda: 0.0), lambda: at_ms, on_recovery=lambda: None)
     health.record_status("507")
--- a/tests/gateway/store/test_store_away.py
+++ b/tests/gateway/store/test_store_outages.py
@@ -1,4 +1,4 @@
-"""Turns while the store is away: they run on, and end whole only if their records are kept."""
+"""Turns during an outage of the store: they continue, and complete only once they are durable."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
     from quincespool.gateway.store.interface import Partition
     from quincespool.gateway.turns.ledger import Record
 
-# Less than the part of the route's time with which a caller is sent away to come back.
+# Deadline of a caller that has already waited: a caller with a larger part of the route's timeout
+# left is refused and told to retry.
 WAITED_MS = 2_200
 EVENTS_TOKENS = 30
 
 
-async def test_a_turn_of_a_caller_that_has_waited_ends_when_the_store_is_back() -> None:
-    """Symptom: programs fail in an outage that their callers' few tries do not outlast.
+async def test_a_turn_of_a_caller_that_has_waited_ends_when_the_store_recovers() -> None:
+    """Programs must not fail in an outage that lasts longer than their callers' few retries.
 
-    Events: the store is away for some seconds; every try is refused, while engines are idle.
-    Cause: only what ends a turn has to wait for the store, not what it generates.
+    In an outage of some seconds, refusing every attempt would leave engines idle. Only the end of a
+    turn has to wait for the store, not the tokens that it generates.
     """
     async with GatewayCluster(2) as cluster:
         first_id, _ = await cluster.turn("a", "p1")
-        await cluster.lose_store("a", "b")
+        await cluster.start_store_outage("a", "b")
         pieces: list[bytes] = []
         turn = cluster.turn(
             "a", "p1", previous=first_id, deadline_ms=WAITED_MS, on_data=pieces.append
@@ -47,41 +48,45 @@
             assert reply.status == 200
 
 
-async def test_a_turn_whose_records_are_not_kept_is_not_told_whole() -> None:
+async def test_a_turn_whose_records_are_not_durable_is_not_completed() -> None:
     async with GatewayCluster(1) as cluster:
         await cluster.turn("a", "p1")
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         with pytest.raises(ConnectionLostError):
             await cluster.turn("a", "p1", deadline_ms=WAITED_MS)
 
 
-async def test_a_program_gets_no_more_than_one_turn_of_which_nothing_is_kept() -> None:
-    """Symptom: a program gets more tokens than its budget and one turn.
+async def test_a_program_gets_at_most_one_turn_without_durable_records() -> None:
+    """A program must not get more tokens than its budget plus those of one turn.
 
-    Events: the store is away; turn after turn is run and broken off; then all hosts lose power.
-    Cause: nothing that lasts tells of the tokens that were handed out.
+    During an outage of the store, turn after turn would run and be interrupted; if all hosts then
+    lost power, no durable record would show the tokens that were sent.
     """
     async with GatewayCluster(1) as cluster:
         await cluster.turn("a", "p1")
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         with pytest.raises(ConnectionLostError):
-            await cluster.turn("a", "p1", most=EVENTS_TOKENS, deadline_ms=WAITED_MS)
-        call_id, reply = await cluster.turn("a", "p1", most=EVENTS_TOKENS, deadline_ms=WAITED_MS)
+            await cluster.turn("a", "p1", max_tokens=EVENTS_TOKENS, deadline_ms=WAITED_MS)
+        call_id, reply = await cluster.turn(
+            "a", "p1", max_tokens=EVENTS_TOKENS, deadline_ms=WAITED_MS
+        )
         assert reply.status == 503
         assert cluster.runs(call_id) == []
 
         cluster.set_store("a", down=False)
         owned = cluster.nodes["a"].daemon._ownership.owned
         await cluster.until(lambda: all(one.idle and not one.stalled for one in owned.values()))
-        _, reply = await cluster.turn("a", "p1", budget=2 * EVENTS_TOKENS + 29, most=EVENTS_TOKENS)
+        _, reply = await cluster.turn(
+            "a", "p1", budget=2 * EVENTS_TOKENS + 29, max_tokens=EVENTS_TOKENS
+        )
         assert reply.status == 402
 
 
-async def test_a_turn_at_an_owner_that_is_turned_away_is_kept_by_the_next_one() -> None:
-    """Symptom: turns of a third of the hosts are refused for as long as these are turned away.
+async def test_a_turn_at_an_owner_that_the_store_refuses_is_made_durable_by_the_next() -> None:
+    """Turns must not be refused at a third of the hosts while the store refuses these hosts.
 
-    Events: the store answers some hosts only; one of them has a turn under way, whose program
-    another daemon owns by the time of its end.
+    The store serves only some hosts. One of the others has a turn in flight, and by the end of the
+    turn another daemon owns its program.
     """
     async with GatewayCluster(2) as cluster:
         daemon = cluster.nodes["a"].daemon
@@ -91,7 +96,7 @@
             if daemon._program_components.relay._partition_for(name) in daemon._ownership.owned
         )
         await cluster.turn("a", program)
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         call_id, reply = await cluster.turn("a", program, deadline_ms=WAITED_MS)
         assert reply.status == 200
 
@@ -99,21 +104,21 @@
         assert reply.status == 200
 
 
-async def test_a_program_of_which_nothing_lasts_is_refused() -> None:
+async def test_a_program_without_durable_records_is_refused() -> None:
     async with GatewayCluster(1) as cluster:
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         call_id, reply = await cluster.turn("a", "p1", deadline_ms=WAITED_MS)
         assert reply.status == 503
         assert cluster.runs(call_id) == []
 
 
-async def test_a_turn_whose_start_is_settled_elsewhere_goes_on(
+async def test_a_turn_whose_start_is_settled_at_another_daemon_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: turns break off before their first token whenever partitions change hands.
+    """Turns must not be interrupted before their first token when a partition changes its owner.
 
-    Events: the partition is taken over while the start is on its way; the new owner keeps it.
-    Cause: the tokens counted as ones of which nothing lasts.
+    The partition is taken over while the start record is in flight, and the new owner makes it
+    durable. The turn's tokens must not count as tokens without a durable record.
     """
     submit = OwnedPartition.submit
 
@@ -133,11 +138,11 @@
         assert reply.body.count(b"data:") == 3
 
 
-async def test_no_token_waits_for_a_store_that_is_slow() -> None:
-    """Symptom: with a store that answers in 200 ms each turn begins a fifth of a second late.
+async def test_no_token_waits_for_a_slow_store() -> None:
+    """With a store that answers in 200 ms, turns must not begin a fifth of a second late.
 
-    Events: a program goes on; its turn's start is on its way to the store.
-    Cause: the first token waited for the start, though no more than one turn was uncertain.
+    A program continues while the start record of its turn is in flight. The first token need not
+    wait for that record as long as only one turn of the program lacks a durable start.
     """
     async with GatewayCluster(1) as cluster:
         first_id, _ = await cluster.turn("a", "p1")
@@ -154,9 +159,9 @@
 async def test_the_start_of_a_turn_is_appended_with_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: requests to the store are the dearest price of a calm day, two a turn.
+    """A turn must not cost two requests to the store, the largest cost under normal operation.
 
-    Cause: the start was appended by itself, to be durable before the first token.
+    The start record is not appended separately to be durable before the first token.
     """
     batches: list[int] = []
     append = PlatformStore.append
@@ -178,11 +183,11 @@
         assert batches == [2, 2, 2, 2]
 
 
-async def test_two_turns_of_a_program_at_once_have_durable_starts() -> None:
-    """Symptom: a program gets more tokens than its budget and one turn.
+async def test_concurrent_turns_of_a_program_have_durable_starts() -> None:
+    """A program must not get more tokens than its budget plus those of one turn.
 
-    Events: helpers of a program run at the same moment; their owner dies.
-    Cause: the starts of all of them waited for their ends.
+    Several turns of a program run at the same time and their owner crashes. If their start records
+    were appended only with their ends, none of their tokens would be recorded.
     """
     async with GatewayCluster(1) as cluster:
         first_id, _ = await cluster.turn("a", "p1")
--- a/tests/gateway/test_changes_under_way.py
+++ b/tests/gateway/test_changes_during_requests.py
@@ -1,4 +1,4 @@
-"""Planned changes while requests are under way: none ends one, or closes its connection."""
+"""Planned changes neither end requests in flight nor close their connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     cluster.configure(2, timeout_ms=300, max_attempts=1, retention_s=1.0)
 
 
-def _ask_for_keys(cluster: GatewayCluster) -> None:
+def _require_keys(cluster: GatewayCluster) -> None:
     cluster.configure(2, accounts=[{"name": "x", "api_keys": ["k"], "rate_per_s": 0.1, "burst": 1}])
 
 
@@ -45,7 +45,7 @@
     cluster.configure(2, service="plain", retain_context=False)
 
 
-def _forget_operators_records(cluster: GatewayCluster) -> None:
+def _truncate_topics(cluster: GatewayCluster) -> None:
     cluster.state.forget_history("keyed.op")
     cluster.state.forget_history("keyed.servers")
     cluster.configure(2)
@@ -53,7 +53,7 @@
 
 def _drain_engines(cluster: GatewayCluster) -> None:
     for backend_id, service in (("e1", "model"), ("e2", "model"), ("s1", "plain")):
-        cluster.announce(backend_id, service, state="draining")
+        cluster.write_backend_entry(backend_id, service, state="draining")
     cluster.configure(2)
 
 
@@ -63,7 +63,7 @@
     cluster.configure(2)
 
 
-def _hang_up(cluster: GatewayCluster) -> None:
+def _reload_settings(cluster: GatewayCluster) -> None:
     for node in cluster.nodes.values():
         node.daemon._live_settings.reload()
     cluster.configure(2)
@@ -72,13 +72,13 @@
 CHANGES: list[Callable[[GatewayCluster], None]] = [
     _lower_limits,
     _lower_timeouts,
-    _ask_for_keys,
+    _require_keys,
     _remove_routes_and_services,
     _move_routes,
-    _forget_operators_records,
+    _truncate_topics,
     _drain_engines,
     _remove_engines,
-    _hang_up,
+    _reload_settings,
 ]
 
 
@@ -94,28 +94,28 @@
 
 
 @pytest.mark.parametrize("change", CHANGES, ids=[one.__name__.strip("_") for one in CHANGES])
-async def test_no_request_under_way_is_ended_by_a_change(
+async def test_no_request_in_flight_is_ended_by_a_change(
     change: Callable[[GatewayCluster], None],
 ) -> None:
     async with GatewayCluster(2) as cluster:
         for engine in cluster.engines.values():
             engine.knobs.events, engine.knobs.gap_ms = 6, 100
         cluster.engines["s1"].knobs.gap_ms = 600
-        connections, calling = [], []
+        connections, requests = [], []
         for node in cluster.nodes.values():
             for path in ("/stream/x", "/non_idempotent/x"):
                 for name in PROGRAMS:
                     connection = await connect(node.address)
-                    # A first request, so that it is a kept connection that carries the next one.
+                    # A first request, so that the next one is sent on a reused connection.
                     assert (await _send(connection, "/none", "x")).status == 404
                     connections.append(connection)
                     call_id = f"{node.settings.member_id}{path}{name}"
-                    calling.append(asyncio.create_task(_send(connection, path, call_id)))
-        await cluster.until(lambda: len(cluster.all_runs()) == len(calling))
+                    requests.append(asyncio.create_task(_send(connection, path, call_id)))
+        await cluster.until(lambda: len(cluster.all_runs()) == len(requests))
         change(cluster)
         await cluster.until(
             lambda: all(node.daemon._routes.version == 2 for node in cluster.nodes.values())
         )
-        replies = await asyncio.gather(*calling)
-        assert [reply.status for reply in replies] == [200] * len(calling)
+        replies = await asyncio.gather(*requests)
+        assert [reply.status for reply in replies] == [200] * len(requests)
         assert all(connection.usable for connection in connections)
--- a/tests/gateway/test_decision_log.py
+++ b/tests/gateway/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The log is bounded and never waited for."""
+"""The decision log is rate-limited and never blocks the daemon."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 from quincespool.gateway.decision_log import DroppingHandler
 
 
-def test_a_reader_that_does_not_read_costs_lines_and_no_time() -> None:
-    """Symptom: a daemon stands still; nothing in its log.
+def test_lines_are_dropped_when_the_reader_stops_reading() -> None:
+    """A daemon must not stall without a log line when the reader of its output stops reading.
 
-    Events: whoever reads its standard output stops reading.
-    Cause: a write to a full pipe waits.
+    A blocking write to a full pipe would wait for the reader.
     """
     reading, writing = os.pipe()
     handler = DroppingHandler(writing)
@@ -32,7 +31,7 @@
     os.close(writing)
 
 
-def test_lines_beyond_the_bound_are_counted() -> None:
+def test_lines_beyond_the_rate_limit_are_counted() -> None:
     lines: list[str] = []
     now_s = 0.0
     log = DecisionLog(lambda: now_s)
--- a/tests/gateway/test_live_settings.py
+++ b/tests/gateway/test_live_settings.py
@@ -1,4 +1,4 @@
-"""What a running daemon takes over from a settings file that has changed."""
+"""The reload of a changed settings file in a running daemon."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return live
 
 
-def test_what_can_change_under_way_changes(
+def test_only_reloadable_settings_are_applied(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     live = _reload(tmp_path / "s.json", {"addresses_valid_ms": 300, "peer_port": 9})
@@ -49,9 +49,7 @@
     assert (line["applied"], line["after_restart"]) == (["addresses_valid_ms"], ["peer_port"])
 
 
-def test_a_file_with_a_fault_changes_nothing(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_an_invalid_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     live = _reload(tmp_path / "s.json", {"addresses_valid_ms": 300, "stop_grace_s": -1})
 
     assert live.current == SETTINGS
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""The end of a planned stop, with a port and a relay of the test's own."""
+"""The graceful shutdown of a daemon, with stubs for its port and its other components."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     from quincespool.gateway.turns.relay import Relay
 
 GRACE_S = 2.0
-TIME_MS = 1_000 * GRACE_S - STOP_MARGIN_MS - ANSWER_MARGIN_MS
+ACCEPTED_MS = 1_000 * GRACE_S - STOP_MARGIN_MS - ANSWER_MARGIN_MS
 
 
 class _Port:
-    """A port whose request has been sent, and is read a turn of the loop after the first look."""
+    """A port with a sent request that is read one loop iteration after `busy` is first checked."""
 
     def __init__(self) -> None:
         self.draining = False
@@ -78,7 +78,7 @@
     members: Members | None = None,
 ) -> PlannedStop:
     live = SimpleNamespace(current=SimpleNamespace(stop_grace_s=GRACE_S, addresses_valid_ms=10))
-    quiet = SimpleNamespace(
+    stub = SimpleNamespace(
         tell_left=lambda: None,
         draining=False,
         announce=lambda: None,
@@ -88,16 +88,16 @@
     )
     return PlannedStop(
         ownership=cast("Ownership", _Ownership(took_over_ms)),
-        presence=cast("Presence", quiet),
+        presence=cast("Presence", stub),
         caller_port=cast("HttpPort", port),
-        relay=cast("Relay", relay or quiet),
+        relay=cast("Relay", relay or stub),
         members=members or Members("a"),
         live_settings=cast("LiveSettings", live),
-        log=cast("DecisionLog", quiet),
+        log=cast("DecisionLog", stub),
     )
 
 
-async def test_a_request_that_is_read_after_the_last_look_is_answered_before_the_end() -> None:
+async def test_a_request_that_is_read_after_the_last_idle_check_is_answered() -> None:
     port = _Port()
     stop = _make_stop(port)
     stop.begin()
@@ -106,16 +106,16 @@
     assert port.events == ["looked", "answered", "closed", "ended"]
 
 
-async def test_only_calls_that_end_before_the_stop_does_are_taken() -> None:
+async def test_only_calls_with_a_deadline_before_the_end_of_the_stop_are_accepted() -> None:
     stop = _make_stop(_Port())
     assert stop.allows_deadline(now_ms() + 60_000)
     stop.begin()
-    last_ms = now_ms() + int(TIME_MS)
+    last_ms = now_ms() + int(ACCEPTED_MS)
     assert stop.allows_deadline(last_ms - 10)
     assert not stop.allows_deadline(last_ms + 10)
 
 
-async def test_a_stop_waits_until_records_of_its_turns_are_settled() -> None:
+async def test_a_stop_waits_until_the_records_of_its_turns_are_settled() -> None:
     port = _Port()
     port.events.clear()
     relay = SimpleNamespace(serving=0, settling=1)
@@ -134,7 +134,7 @@
     port.events.clear()
     members = Members("a")
     members.put(Daemon("b", 1, "z", "b:1", "b:2"), now_ms())
-    members.hear("b", _draining_beat(), now_ms())
+    members.hear("b", _draining_heartbeat(), now_ms())
     stop = _make_stop(port, took_over_ms=now_ms(), members=members)
     stop.begin()
     draining = asyncio.create_task(stop.drain())
@@ -145,5 +145,5 @@
     assert port.events[-1] == "ended"
 
 
-def _draining_beat() -> Heartbeat:
+def _draining_heartbeat() -> Heartbeat:
     return Heartbeat(1, 1, True, 0, 0, (), store_reachable=True)
--- a/tests/gateway/test_service_tasks.py
+++ b/tests/gateway/test_service_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that a daemon's service rests on outlive a fault of their own."""
+"""The tasks that a daemon depends on continue after an exception."""
 
 from __future__ import annotations
 
@@ -29,10 +29,13 @@
     return call
 
 
-async def test_a_partition_whose_writer_has_met_a_fault_is_taken_over_again(
+async def test_a_partition_whose_writer_has_failed_is_taken_over_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It stayed ready and wrote nothing more: all turns of its programs failed until a restart."""
+    """The partition must not stay ready without a writer.
+
+    It would write nothing more, and all turns of its programs would fail until a restart.
+    """
     failed: list[str] = []
     async with GatewayCluster(1) as cluster:
         append = _fail_once(OwnedPartition._append_batch, failed)
@@ -43,7 +46,7 @@
         assert reply.status == 200
 
 
-async def test_a_partition_that_cannot_be_read_at_first_is_read_later(
+async def test_a_partition_that_cannot_be_read_at_first_is_read_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     failed: list[str] = []
@@ -52,10 +55,10 @@
         assert failed
 
 
-async def test_the_lease_is_renewed_after_a_fault_in_taking_an_assignment(
+async def test_the_lease_is_renewed_after_an_exception_while_applying_an_assignment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The daemon lost its lease for good and served on without one."""
+    """Otherwise the daemon would lose its lease for good and continue to serve without one."""
     failed: list[str] = []
     async with GatewayCluster(1) as cluster:
         ownership = cluster.nodes["a"].daemon._ownership
@@ -66,26 +69,26 @@
 
 
 @pytest.mark.parametrize("topic", ["configuration", "backends"])
-async def test_a_record_that_meets_a_fault_does_not_hide_the_next_ones(
+async def test_records_after_one_whose_handler_failed_are_read(
     topic: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No later configuration, and no later entry, was ever read."""
+    """Otherwise no later configuration and no later entry would ever be read."""
     failed: list[str] = []
     async with GatewayCluster(1) as cluster:
         daemon = cluster.nodes["a"].daemon
         part = daemon._routes if topic == "configuration" else daemon._backends
         name = "adopt" if topic == "configuration" else "put"
         monkeypatch.setattr(part, name, _fail_once(getattr(part, name), failed))
-        cluster.announce("e1", "model", state="draining")
+        cluster.write_backend_entry("e1", "model", state="draining")
         cluster.configure(2)
         await cluster.until(lambda: failed)
-        cluster.announce("e2", "model", state="draining")
+        cluster.write_backend_entry("e2", "model", state="draining")
         cluster.configure(3)
         await cluster.until(lambda: daemon._routes.version == 3, SOON_S)
         await cluster.until(lambda: daemon._backends.entries["e2"].leaving, SOON_S)
 
 
-async def test_a_subscriber_that_cannot_tell_its_interval_is_called_again() -> None:
+async def test_a_subscriber_whose_interval_function_fails_once_is_called_again() -> None:
     calls: list[int] = []
     failed: list[str] = []
     ticker = Ticker()
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""The gateway's settings and the template that writes them."""
+"""The gateway's settings and the template that renders them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return path
 
 
-def test_the_template_gives_settings(tmp_path: Path) -> None:
+def test_the_template_renders_valid_settings(tmp_path: Path) -> None:
     settings = load_gateway_settings(_write(tmp_path))
 
     assert isinstance(settings, GatewaySettings)
@@ -61,7 +61,7 @@
     assert (settings.peer_port, settings.owner_lease_ms) == (7381, 1000)
 
 
-def test_what_limits_allow_beyond_is_that_of_the_platform_or_nothing() -> None:
+def test_limit_slack_and_overage_are_those_of_the_platform_or_zero() -> None:
     bounds = {"bounds.quota_window_s": 7, "bounds.quota_slack": 20, "bounds.quota_overage": 0.1}
     without = msgspec.json.decode(_render(), type=GatewaySettings)
     given = msgspec.json.decode(_render(**bounds), type=GatewaySettings)
@@ -71,7 +71,7 @@
     assert given.limit_overage_share == 0.1
 
 
-def test_how_long_the_store_keeps_records_is_what_the_platform_says() -> None:
+def test_store_retention_is_that_of_the_platform() -> None:
     without = msgspec.json.decode(_render(), type=GatewaySettings)
     given = msgspec.json.decode(_render(**{"platform.retention_s": 20}), type=GatewaySettings)
 
@@ -89,12 +89,14 @@
         ("unknown_key", 1),
     ],
 )
-def test_a_wrong_value_is_named(tmp_path: Path, key: str, value: object) -> None:
+def test_the_error_names_the_key_of_an_invalid_value(
+    tmp_path: Path, key: str, value: object
+) -> None:
     with pytest.raises(SettingsError, match=key):
         load_gateway_settings(_write(tmp_path, **{key: value}))
 
 
-def test_the_command_names_what_is_wrong(
+def test_the_command_reports_the_invalid_setting(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("QUINCESPOOL_NODE_FILE", raising=False)
--- a/tests/gateway/turns/test_imported_histories.py
+++ b/tests/gateway/turns/test_imported_histories.py
@@ -91,11 +91,11 @@
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.full = True
         owned.submit = submit_and_lose  # type: ignore[method-assign]
-        _, reply = await cluster.turn("a", program, budget=100, most=60)
+        _, reply = await cluster.turn("a", program, budget=100, max_tokens=60)
         assert reply.status == 503
         for engine in ("e1", "e2"):
             cluster.engines[engine].knobs.full = False
         await cluster.until(cluster.is_settled)
         await cluster.until(lambda: not daemon._program_components.turns.settling)
-        _, reply = await cluster.turn("b", program, budget=100, most=60)
+        _, reply = await cluster.turn("b", program, budget=100, max_tokens=60)
         assert reply.status == 200
--- a/tests/gateway/turns/test_lost_histories.py
+++ b/tests/gateway/turns/test_lost_histories.py
@@ -40,7 +40,7 @@
 async def _replace_all(cluster: GatewayCluster) -> None:
     """All daemons die; a new one reads what the store has."""
     for name in list(cluster.nodes):
-        await cluster.lose_node(name)
+        await cluster.crash_node(name)
     await cluster.add_node("h")
     await cluster.until(cluster.is_settled)
 
@@ -154,9 +154,9 @@
         await asyncio.sleep(10)
         await _replace_all(cluster)
 
-        _, reply = await cluster.turn("h", "p1", previous=first, budget=130, most=50)
+        _, reply = await cluster.turn("h", "p1", previous=first, budget=130, max_tokens=50)
         assert reply.status == 402
-        _, reply = await cluster.turn("h", "p1", previous=first, budget=130, most=30)
+        _, reply = await cluster.turn("h", "p1", previous=first, budget=130, max_tokens=30)
         assert reply.status == 200
 
 
--- a/tests/gateway/turns/test_programs.py
+++ b/tests/gateway/turns/test_programs.py
@@ -61,7 +61,9 @@
     Cause: each would be admitted against what was spent, not against what is reserved.
     """
     async with GatewayCluster() as cluster:
-        turns = [cluster.turn("ab"[number % 2], "p1", budget=90, most=30) for number in range(12)]
+        turns = [
+            cluster.turn("ab"[number % 2], "p1", budget=90, max_tokens=30) for number in range(12)
+        ]
         statuses = sorted([reply.status for _, reply in await asyncio.gather(*turns)])
 
         assert statuses == [200] * 3 + [402] * 9
@@ -75,13 +77,13 @@
     """
     async with GatewayCluster() as cluster:
         for _ in range(2):
-            await cluster.turn("a", "p1", budget=60, most=3 * TOKENS_PER_EVENT)
+            await cluster.turn("a", "p1", budget=60, max_tokens=3 * TOKENS_PER_EVENT)
         owner = next(name for name in ("a", "b") if _owns(cluster, name, "p1"))
-        await cluster.lose_node(owner)
+        await cluster.crash_node(owner)
         left = "b" if owner == "a" else "a"
         await cluster.until(cluster.is_settled)
 
-        _, reply = await cluster.turn(left, "p1", budget=60, most=3 * TOKENS_PER_EVENT)
+        _, reply = await cluster.turn(left, "p1", budget=60, max_tokens=3 * TOKENS_PER_EVENT)
         assert reply.status == 402
 
 
@@ -94,7 +96,7 @@
     async with GatewayCluster() as cluster:
         first, _ = await cluster.turn("a", "p1", body=b"one|")
         for name in ("a", "b"):
-            await cluster.lose_node(name)
+            await cluster.crash_node(name)
         await cluster.add_node("c")
         await cluster.until(cluster.is_settled)
 
@@ -131,7 +133,7 @@
     """
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
-        await cluster.lose_store("a")
+        await cluster.start_store_outage("a")
         async with asyncio.timeout(3):
             while (reply := (await cluster.turn("b", program))[1]).status != 200:
                 assert reply.status == 503
@@ -249,7 +251,7 @@
     """
     async with GatewayCluster(3) as cluster:
         for name in ("a", "b"):
-            await cluster.lose_node(name)
+            await cluster.crash_node(name)
         await asyncio.sleep(1.5)
         await cluster.until(cluster.is_settled, limit_s=3)
 
@@ -352,7 +354,7 @@
         first, _ = await cluster.turn("a", "p1")
         group = cluster.state.groups["gateway"]
         old_member = cluster.nodes["b"].daemon._ownership._member_id
-        await cluster.lose_node("b")
+        await cluster.crash_node("b")
         await cluster.add_node("b")
 
         await cluster.until(lambda: old_member in group.left)
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -107,7 +107,7 @@
         turn = asyncio.create_task(cluster.turn("a", "p"))
         await cluster.until(lambda: any(engine.under_way for engine in _streams(cluster)))
         busy = next(name for name in ("e1", "e2") if cluster.engines[name].under_way)
-        cluster.announce(busy, "model", state="draining")
+        cluster.write_backend_entry(busy, "model", state="draining")
         _, reply = await turn
         assert _numbers(reply.body) == list(range(1, EVENTS + 1))
         assert len(cluster.engines[busy].runs) == 1
@@ -146,9 +146,9 @@
     async with _cluster() as cluster:
         for engine in _streams(cluster):
             engine.knobs.cut_after, engine.knobs.cuts = 3, 1
-        _, first = await cluster.turn("a", "p", budget=120, most=60)
-        _, second = await cluster.turn("a", "p", budget=120, most=60)
-        _, third = await cluster.turn("a", "p", budget=120, most=60)
+        _, first = await cluster.turn("a", "p", budget=120, max_tokens=60)
+        _, second = await cluster.turn("a", "p", budget=120, max_tokens=60)
+        _, third = await cluster.turn("a", "p", budget=120, max_tokens=60)
         assert (first.status, second.status, third.status) == (200, 200, 402)
 
 
@@ -193,7 +193,7 @@
         seen: list[bytes] = []
         turn = asyncio.create_task(cluster.turn(other, program, call_id="t1", on_data=seen.append))
         await cluster.until(lambda: len(seen) >= 2)
-        await cluster.lose_node(owner)
+        await cluster.crash_node(owner)
         with pytest.raises(ConnectionLostError):
             await turn
         has = _numbers(b"".join(seen))
