--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -144,7 +144,7 @@
             backends_interval_ms=lambda: self._live_settings.current.backends_interval_ms,
             on_new_daemon=self._greet_daemon,
             on_newer_configuration=self._on_newer_configuration,
-            on_configuration=self._on_configuration_adopted,
+            on_configuration_adopted=self._on_configuration_adopted,
             on_predecessor=self._release_predecessor,
         )
 
@@ -294,7 +294,7 @@
         for port, address in zip(self._side_ports, settings.side_addresses, strict=True):
             await port.start(*split_address(address))
         self._log.write_always("started", incarnation=self._incarnation)
-        for part, make_work in (
+        for task_name, make_work in (
             ("configuration", self._cluster_view.configuration.run),
             ("backend entries", self._cluster_view.backend_entries.run),
             ("daemon entries", self._cluster_view.daemon_entries.run),
@@ -302,7 +302,7 @@
             ("link probes", self._links.probe),
             ("registration", lambda: self._presence.register(self._store)),
         ):
-            self._start_task(run_with_restarts(part, make_work, self._log))
+            self._start_task(run_with_restarts(task_name, make_work, self._log))
         self._maintenance.subscribe(self._ticker)
 
     async def _run_ownership_when_routable(self) -> None:
--- a/src/quincespool/gateway/futures.py
+++ b/src/quincespool/gateway/futures.py
@@ -45,7 +45,7 @@
 
 
 async def run_with_restarts(
-    part: str, make_work: Callable[[], Coroutine[Any, Any, None]], log: DecisionLog
+    task_name: str, make_work: Callable[[], Coroutine[Any, Any, None]], log: DecisionLog
 ) -> None:
     """Runs a task that the daemon depends on and restarts it when it raises an exception.
 
@@ -54,7 +54,7 @@
     failure writes the log line `part failed`.
 
     Args:
-      part: Name of the task for the log.
+      task_name: Name of the task for the log.
       make_work: Creates the coroutine to run.
       log: Receives a line on each failure.
     """
@@ -62,8 +62,8 @@
         try:
             await make_work()
         except Exception as error:
-            log.write_always("part failed", part=part, error=repr(error))
-            report_exception(f"{part} failed", error)
+            log.write_always("part failed", part=task_name, error=repr(error))
+            report_exception(f"{task_name} failed", error)
         else:
             return
         await asyncio.sleep(RESTART_S)
--- a/src/quincespool/gateway/maintenance.py
+++ b/src/quincespool/gateway/maintenance.py
@@ -23,7 +23,7 @@
     from quincespool.gateway.turns.trimming import Trimming
 
 # Least interval between checks for silent peers; a small part of the silence that is tolerated.
-SILENCE_CHECK_MS = 50
+MIN_CHECK_INTERVAL_MS = 50
 MAINTENANCE_INTERVAL_MS = 250
 EXPIRY_INTERVAL_MS = 2_000
 # Programs are dropped this long after they can no longer be continued: clocks of daemons differ by
@@ -68,10 +68,10 @@
 
     def _daemon_check_interval_ms(self) -> int:
         due_ms = self._members.silence_due_ms(now_ms())
-        return max(SILENCE_CHECK_MS, min(due_ms, ASK_MS))
+        return max(MIN_CHECK_INTERVAL_MS, min(due_ms, ASK_MS))
 
     def _backend_check_interval_ms(self) -> int:
-        return max(SILENCE_CHECK_MS, min(self._quiet_backends.due_ms(), QUIET_MS))
+        return max(MIN_CHECK_INTERVAL_MS, min(self._quiet_backends.due_ms(), QUIET_MS))
 
     def _renewal_interval_ms(self) -> int:
         return min(EXPIRY_INTERVAL_MS, self._renewals.interval_ms)
--- a/src/quincespool/gateway/store/cluster_view.py
+++ b/src/quincespool/gateway/store/cluster_view.py
@@ -142,8 +142,29 @@
         on_new_daemon: Callable[[Daemon], None],
         on_predecessor: Callable[[int], None],
         on_newer_configuration: Callable[[str, int], None],
-        on_configuration: Callable[[], None],
+        on_configuration_adopted: Callable[[], None],
     ) -> None:
+        """Creates the view of one daemon.
+
+        Args:
+          member_id: Id of this daemon.
+          incarnation: Start time of this process.
+          store: The store whose topics are followed.
+          store_health: Whether the store answers.
+          codec: Decodes the records.
+          routes: Holds the configuration in force; updated.
+          backends: The known backend servers; updated.
+          pool: Connections to backend servers; those to removed ones are closed.
+          members: The known daemons; updated.
+          log: Receives a line on each change.
+          now_ms: Returns the steady clock.
+          backends_interval_ms: Returns the interval at which entries of backend servers are read.
+          on_new_daemon: Called with the entry of a daemon that is new or has changed.
+          on_predecessor: Called with the incarnation of an earlier process under this daemon's id.
+          on_newer_configuration: Called with the id of a daemon that has a newer configuration in
+            force, and with its version.
+          on_configuration_adopted: Called when a newer configuration has been adopted.
+        """
         self._member_id = member_id
         self._incarnation = incarnation
         self._store_health = store_health
@@ -157,7 +178,7 @@
         self._on_new_daemon = on_new_daemon
         self._on_predecessor = on_predecessor
         self._on_newer_configuration = on_newer_configuration
-        self._on_configuration = on_configuration
+        self._on_configuration_adopted = on_configuration_adopted
         self.configuration = TopicFollower(
             codec.CONFIGURATION_TOPIC,
             store=store,
@@ -245,7 +266,7 @@
     def _adopt(self, configuration: Configuration, *, offset: int, source: str) -> None:
         if not self._routes.adopt(configuration):
             return
-        self._on_configuration()
+        self._on_configuration_adopted()
         accounts = configuration.accounts
         self._log.write_always(
             "configuration adopted",
--- a/tests/gateway/test_service_tasks.py
+++ b/tests/gateway/test_service_tasks.py
@@ -76,9 +76,9 @@
     failed: list[str] = []
     async with GatewayCluster(1) as cluster:
         daemon = cluster.nodes["a"].daemon
-        part = daemon._routes if topic == "configuration" else daemon._backends
+        component = daemon._routes if topic == "configuration" else daemon._backends
         name = "adopt" if topic == "configuration" else "put"
-        monkeypatch.setattr(part, name, _fail_once(getattr(part, name), failed))
+        monkeypatch.setattr(component, name, _fail_once(getattr(component, name), failed))
         cluster.write_backend_entry("e1", "model", state="draining")
         cluster.configure(2)
         await cluster.until(lambda: failed)
