--- a/src/quincespool/gateway/accounts/permit_codec.py
+++ b/src/quincespool/gateway/accounts/permit_codec.py
@@ -35,7 +35,7 @@
         program_id=ask.program_id,
         may_begin=ask.may_begin,
         kind=ask.kind.name,
-        rank=ask.kind.rank.first,
+        rank=ask.kind.rank.primary,
         told_calls=write_optional(ask.told_calls),
     )
 
--- a/src/quincespool/gateway/backends/quiet.py
+++ b/src/quincespool/gateway/backends/quiet.py
@@ -8,9 +8,9 @@
 from quincespool.gateway.backends.exchange import BackendConnection
 from quincespool.gateway.backends.exchange import ConnectError
 from quincespool.gateway.clock import now_ms
-from quincespool.policy.silence import QUIET_MS
-from quincespool.policy.silence import is_quiet_too_long
-from quincespool.policy.silence import quiet_due_ms
+from quincespool.policy.silence import BACKEND_SILENCE_MS
+from quincespool.policy.silence import is_silent_too_long
+from quincespool.policy.silence import remaining_silence_ms
 
 if TYPE_CHECKING:
     from quincespool.gateway.backends.attempt import Services
@@ -51,7 +51,7 @@
             if backend_id in self._tries or backend_id in self._not_before_s:
                 continue
             entry = backends.entries.get(backend_id)
-            quiet = is_quiet_too_long(silent_s * 1000, backends.latency_ms(backend_id))
+            quiet = is_silent_too_long(silent_s * 1000, backends.latency_ms(backend_id))
             if entry is None or not quiet:
                 continue
             self._not_before_s[backend_id] = now_s + AGAIN_S
@@ -62,12 +62,12 @@
         """Returns for how long `check` has nothing to do, if nothing more comes."""
         backends = self._services.backends
         waits_ms = [
-            quiet_due_ms(silent_s * 1000, backends.latency_ms(backend_id))
+            remaining_silence_ms(silent_s * 1000, backends.latency_ms(backend_id))
             for backend_id, silent_s in self._services.pool.silences_s().items()
             if backend_id not in self._tries and backend_id not in self._not_before_s
         ]
         # A call that is sent meanwhile may be quiet for as long as the least of these.
-        return max(0, int(min(waits_ms, default=QUIET_MS)))
+        return max(0, int(min(waits_ms, default=BACKEND_SILENCE_MS)))
 
     def _spawn_try(self, entry: BackendEntry, silent_s: float) -> None:
         task = asyncio.get_running_loop().create_task(self._try(entry, silent_s))
--- a/src/quincespool/gateway/backends/reports.py
+++ b/src/quincespool/gateway/backends/reports.py
@@ -14,7 +14,7 @@
 from quincespool.gateway.members.messages import read_optional
 from quincespool.gateway.members.messages import write_optional
 from quincespool.gateway.model import BackendLife
-from quincespool.policy.engine_speeds import Answer
+from quincespool.policy.engine_speeds import SpeedSample
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -55,13 +55,13 @@
         if self._backends.note_late(entry.life, self._member_id, late_ms, now_ms()):
             self._tell(entry, late_ms, "overdue")
 
-    def take_speed_to_tell(self) -> Answer | None:
+    def take_speed_to_tell(self) -> SpeedSample | None:
         """Returns what a heartbeat is to tell of an engine's speed; None if nothing."""
         return self._backends.take_speed_to_tell()
 
     def hear_speed(self, backend_id: str, event_ms: float) -> None:
         """Takes in what a heartbeat tells of an engine's speed."""
-        self._backends.hear_speed(Answer(backend_id, event_ms))
+        self._backends.hear_speed(SpeedSample(backend_id, event_ms))
 
     def hear(self, sender: str, told: BackendReport) -> None:
         """Takes in what another daemon tells."""
--- a/src/quincespool/gateway/backends/table.py
+++ b/src/quincespool/gateway/backends/table.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from quincespool.newest_entries import put_newest
-from quincespool.policy.engine_speeds import Answer
 from quincespool.policy.engine_speeds import EngineSpeeds
+from quincespool.policy.engine_speeds import SpeedSample
 from quincespool.policy.outliers import OwnFailures
 from quincespool.policy.outliers import SharedFailures
 from quincespool.policy.placement import Candidate
@@ -148,22 +148,22 @@
     def began(self, entry: BackendEntry, took_ms: float, now_ms: int) -> None:
         """Takes note of how long an answer took to begin, from when the call was sent."""
         self._latencies.observe(entry.backend_id, took_ms, now_ms)
-        self.times.observe_begin(entry.service, took_ms)
+        self.times.observe_first_byte(entry.service, took_ms)
 
     def streamed(self, entry: BackendEntry, events: int, took_ms: float) -> None:
         """Takes note of how long a whole stream took from its first event to its last one."""
         if events > 1:
-            answer = Answer(entry.backend_id, took_ms / (events - 1))
+            answer = SpeedSample(entry.backend_id, took_ms / (events - 1))
             self._speeds.observe(entry.service, answer)
 
-    def take_speed_to_tell(self) -> Answer | None:
+    def take_speed_to_tell(self) -> SpeedSample | None:
         """Returns what the other daemons should know of an engine's speed, once."""
-        return self._speeds.take_to_tell()
+        return self._speeds.take_reportable()
 
-    def hear_speed(self, answer: Answer) -> None:
+    def hear_speed(self, answer: SpeedSample) -> None:
         """Takes in what another daemon tells of an engine's speed."""
         if answer.backend_id in self.entries:
-            self._speeds.hear(answer)
+            self._speeds.add_sample(answer)
 
     def slowness(self) -> dict[str, float]:
         """Returns how many times the usual time each engine takes, for people to read."""
@@ -174,16 +174,16 @@
 
     def succeeded(self, entry: BackendEntry, took_ms: float) -> None:
         """Takes note of a sound answer and how long it took to its end."""
-        self._own_failures.succeeded(entry.backend_id)
-        self.times.observe_whole(entry.service, took_ms)
+        self._own_failures.record_success(entry.backend_id)
+        self.times.observe_total(entry.service, took_ms)
 
     def failed(self, backend_id: str, now_ms: int, *, unreachable: bool = False) -> bool:
         """Takes note of a failure; returns whether the backend server is ejected for it."""
-        return self._own_failures.failed(backend_id, now_ms, unreachable=unreachable)
+        return self._own_failures.record_failure(backend_id, now_ms, unreachable=unreachable)
 
     def is_failure_worth_telling(self, backend_id: str, reporter: str, now_ms: int) -> bool:
         """Whether a report of this daemon changes anything at the others."""
-        return self._shared_failures.is_worth_telling(backend_id, reporter, now_ms)
+        return self._shared_failures.should_report(backend_id, reporter, now_ms)
 
     def note_failure(self, life: BackendLife, reporter: str, now_ms: int) -> int | None:
         """Takes in that a call of some daemon went wrong at a backend server.
@@ -195,7 +195,9 @@
         if entry is None:
             return None
         group = [one.backend_id for one in self.entries.values() if one.service == entry.service]
-        return self._shared_failures.note(life.backend_id, reporter, group=group, now_ms=now_ms)
+        return self._shared_failures.record_report(
+            life.backend_id, reporter, group=group, now_ms=now_ms
+        )
 
     def note_late(self, life: BackendLife, reporter: str, late_ms: int, now_ms: int) -> bool:
         """Takes in for how long an answer to some daemon has not begun that should have.
@@ -266,15 +268,15 @@
 
     def _candidate(self, entry: BackendEntry, now_ms: int, connected: frozenset[str]) -> Candidate:
         backend_id, service = entry.backend_id, entry.service
-        usual_ms = self.times.begin_ms(service)
+        usual_ms = self.times.first_byte_ms(service)
         late_ms = self._latencies.excess_ms(backend_id, usual_ms, now_ms)
         return Candidate(
             backend_id=backend_id,
             busy=self.in_flight.get(backend_id, 0) / max(1, entry.slots),
-            is_near=entry.zone == self._zone,
+            is_in_same_zone=entry.zone == self._zone,
             is_cold=entry.cold_ms > 0,
-            is_connected=backend_id in connected,
-            lateness=late_ms / max(1.0, self.times.whole_ms(service)),
+            has_idle_connection=backend_id in connected,
+            lateness=late_ms / max(1.0, self.times.total_ms(service)),
             slowness=self._speeds.slowness(service, backend_id),
         )
 
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -199,7 +199,7 @@
             claims=self._claims(),
             store_reachable=self._beliefs.store_reachable,
             engine_id=speed.backend_id if speed is not None else "",
-            engine_event_us=round(1_000 * speed.event_ms) if speed is not None else 0,
+            engine_event_us=round(1_000 * speed.event_interval_ms) if speed is not None else 0,
         )
         self._heartbeats.send(daemons, beat)
 
--- a/src/quincespool/gateway/members/table.py
+++ b/src/quincespool/gateway/members/table.py
@@ -7,10 +7,10 @@
 from typing import NamedTuple
 
 from quincespool.gateway.store.interface import Partition
-from quincespool.policy.silence import ASK_MS
-from quincespool.policy.silence import BEAT_MS
-from quincespool.policy.silence import SILENCE_MS
-from quincespool.policy.silence import SilenceWatch
+from quincespool.policy.silence import HEARTBEAT_INTERVAL_MS
+from quincespool.policy.silence import PEER_TIMEOUT_MS
+from quincespool.policy.silence import PROBE_AFTER_MS
+from quincespool.policy.silence import FailureDetector
 from quincespool.stable_hash import stable_hash
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
 
     def __init__(self, member_id: str) -> None:
         self.entries: dict[str, Daemon] = {}
-        self.round_ms = BEAT_MS
+        self.round_ms = HEARTBEAT_INTERVAL_MS
         self._member_id = member_id
         self._seen: dict[str, _Seen] = {}
         # Epochs by claimed partition and member id, as last heard.
@@ -69,7 +69,7 @@
         self._watched: frozenset[str] = frozenset()
         self._heard_ms = 0
         self._next_turn = 0
-        self._silence = SilenceWatch()
+        self._silence = FailureDetector()
 
     @property
     def others(self) -> list[Daemon]:
@@ -131,15 +131,15 @@
         verdict = self._silence.check(self._watched_heard_ms(), now_ms)
         gone = [
             self.entries[name]._replace(incarnation=self._seen[name].beat.incarnation)
-            for name in verdict.gone
+            for name in verdict.failed
         ]
-        for name in verdict.gone:
+        for name in verdict.failed:
             self.suspect(name)
-        return [self.entries[name] for name in verdict.ask], gone
+        return [self.entries[name] for name in verdict.to_probe], gone
 
     def silence_due_ms(self, now_ms: int) -> int:
         """Returns for how long `judge_silence` has nothing to say, if nothing more is heard."""
-        return self._silence.due_ms(self._watched_heard_ms(), now_ms)
+        return self._silence.next_check_in_ms(self._watched_heard_ms(), now_ms)
 
     def _watched_heard_ms(self) -> dict[str, int]:
         return {
@@ -165,7 +165,7 @@
         seen = self._seen.get(member_id)
         if seen is None or seen.beat.incarnation != incarnation:
             return False
-        if now_ms - seen.heard_ms < ASK_MS or not self.is_alive(member_id, now_ms):
+        if now_ms - seen.heard_ms < PROBE_AFTER_MS or not self.is_alive(member_id, now_ms):
             return False
         self.suspect(member_id)
         return True
@@ -204,7 +204,7 @@
     def is_isolated(self, now_ms: int) -> bool:
         """Whether there are other daemons and not a word comes from any of them."""
         others = self.others
-        if not others or now_ms - self._heard_ms < SILENCE_MS:
+        if not others or now_ms - self._heard_ms < PEER_TIMEOUT_MS:
             return False
         unheard = [one.member_id for one in others if one.member_id not in self._seen]
         return not any(self.is_alive(member_id, now_ms) for member_id in unheard)
@@ -279,10 +279,10 @@
         places.sort(key=lambda place: (place[0] <= own, place[0]))
         self._ring = [one for _, one in places]
         turns = math.ceil((len(self._ring) - WATCHERS) / (BEAT_FANOUT - WATCHERS))
-        self.round_ms = BEAT_MS * (turns if self._is_large else 1)
+        self.round_ms = HEARTBEAT_INTERVAL_MS * (turns if self._is_large else 1)
         self._watched = frozenset(one.member_id for one in self._ring[-WATCHERS:])
 
     def _silence_limit_ms(self, member_id: str) -> int:
         if not self._is_large or member_id in self._watched:
-            return SILENCE_MS
-        return max(SILENCE_MS, MISSED_ROUNDS * self.round_ms)
+            return PEER_TIMEOUT_MS
+        return max(PEER_TIMEOUT_MS, MISSED_ROUNDS * self.round_ms)
--- a/src/quincespool/gateway/store/beliefs.py
+++ b/src/quincespool/gateway/store/beliefs.py
@@ -12,8 +12,8 @@
 
 from quincespool.gateway.backends.table import EntryNews
 from quincespool.gateway.store.follower import Follower
-from quincespool.policy.polling import entries_interval_ms
-from quincespool.policy.polling import members_pause_ms
+from quincespool.policy.polling import backend_entries_interval_ms
+from quincespool.policy.polling import daemon_entries_pause_ms
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -159,7 +159,9 @@
             on_record=self._take_backend_record,
             on_listing=self._list_backends,
             wait_ms=0,
-            pause_ms=lambda: entries_interval_ms(backends_interval_ms(), len(members.entries)),
+            pause_ms=lambda: backend_entries_interval_ms(
+                backends_interval_ms(), len(members.entries)
+            ),
         )
         self.daemon_entries = Follower(
             wire.DAEMONS_TOPIC,
@@ -167,7 +169,7 @@
             on_record=self._take_daemon,
             on_listing=lambda _: None,
             wait_ms=DAEMONS_WAIT_MS,
-            pause_ms=lambda: members_pause_ms(len(members.entries)),
+            pause_ms=lambda: daemon_entries_pause_ms(len(members.entries)),
         )
 
     @property
--- a/src/quincespool/gateway/turns/admission.py
+++ b/src/quincespool/gateway/turns/admission.py
@@ -84,7 +84,7 @@
             if rejection is not None:
                 self._note_rejection(call, terms, program, rejection)
                 return not_run("overloaded", retry_after_ms=rejection.retry_after_ms)
-        self._control.note_turn(turn.program_id, kind, at_ms)
+        self._control.record_turn(turn.program_id, kind, at_ms)
         return None
 
     def _note_rejection(
@@ -98,25 +98,25 @@
             account=terms.account,
             route=terms.route,
             service=terms.service,
-            rank=terms.rank.first,
-            route_rank=terms.rank.then,
-            pressed=program.is_pressed,
+            rank=terms.rank.primary,
+            route_rank=terms.rank.secondary,
+            pressed=program.is_near_limit,
             program_left_ms=program.left_ms,
             wait_ms=round(rejection.wait_ms),
-            wait_age_ms=rejection.age_ms,
+            wait_age_ms=rejection.wait_age_ms,
             turns=round(rejection.turns, 1),
             retry_after_ms=rejection.retry_after_ms,
         )
 
     def note_begin(self, terms: TurnTerms, took_ms: float) -> None:
         """See `ProgramAdmission.note_begin`."""
-        self._control.note_begin(terms.service, terms.rank, took_ms, now_ms())
+        self._control.record_first_event(terms.service, terms.rank, took_ms, now_ms())
         wait_ms = self._control.wait_ms(terms.service, terms.rank, now_ms())
         self._metrics.observe("gateway_turn_wait_ms", wait_ms)
 
     def note_full(self, terms: TurnTerms) -> None:
         """See `ProgramAdmission.note_full`."""
-        self._control.note_full(terms.service, terms.rank, now_ms())
+        self._control.record_full(terms.service, terms.rank, now_ms())
 
     def learn(self) -> None:
         """See `ProgramAdmission.learn`."""
--- a/src/quincespool/gateway/turns/ownership.py
+++ b/src/quincespool/gateway/turns/ownership.py
@@ -10,7 +10,7 @@
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.store.interface import StoreError
 from quincespool.gateway.turns.partition import OwnedPartition
-from quincespool.policy.settling import SettlingShare
+from quincespool.policy.pending_assignments import PendingAssignments
 from quincespool.stable_hash import stable_hash
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
         self._wanted = True
         self._aside = False
         self._takes = 0
-        self._dealt: SettlingShare[Partition] = SettlingShare(now_ms())
+        self._dealt: PendingAssignments[Partition] = PendingAssignments(now_ms())
         self._taking: asyncio.TimerHandle | None = None
 
     @property
@@ -242,7 +242,7 @@
         lost = [one for one in self.owned if one not in assignment.partitions]
         self._give_up(lost, "reassigned")
         held = {one for one, owned in self.owned.items() if not owned.lost}
-        self._dealt.deal(assignment.partitions - held, now_ms(), changed=changed)
+        self._dealt.assign(assignment.partitions - held, now_ms(), changed=changed)
         self._take_when_stable()
         if changed:
             self._on_assignment(assignment.generation, len(assignment.partitions))
@@ -260,11 +260,11 @@
             self._taking = loop.call_later(wait_ms / 1000, self._take_dealt)
 
     def _take_dealt(self) -> None:
-        for partition in self._dealt.take():
+        for partition in self._dealt.take_all():
             self._take(partition)
 
     def _forget_dealt(self) -> None:
-        self._dealt.take()
+        self._dealt.take_all()
         self._take_when_stable()
 
     def _take(self, partition: Partition) -> None:
--- a/src/quincespool/gateway/upkeep.py
+++ b/src/quincespool/gateway/upkeep.py
@@ -6,9 +6,9 @@
 
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.clock import wall_ms
-from quincespool.policy.silence import ASK_MS
-from quincespool.policy.silence import BEAT_MS
-from quincespool.policy.silence import QUIET_MS
+from quincespool.policy.silence import BACKEND_SILENCE_MS
+from quincespool.policy.silence import HEARTBEAT_INTERVAL_MS
+from quincespool.policy.silence import PROBE_AFTER_MS
 
 if TYPE_CHECKING:
     from quincespool.gateway.backends.quiet import QuietBackends
@@ -59,7 +59,7 @@
 
     def subscribe(self, ticker: Ticker) -> None:
         """Has the work done at its intervals."""
-        ticker.every(lambda: BEAT_MS, self._presence.beat)
+        ticker.every(lambda: HEARTBEAT_INTERVAL_MS, self._presence.beat)
         ticker.every(self._daemon_silence_ms, self._presence.judge_silence)
         ticker.every(self._backend_silence_ms, self._quiet_backends.check)
         ticker.every(lambda: UPKEEP_INTERVAL_MS, self._keep_up)
@@ -68,10 +68,10 @@
 
     def _daemon_silence_ms(self) -> int:
         due_ms = self._members.silence_due_ms(now_ms())
-        return max(SILENCE_CHECK_MS, min(due_ms, ASK_MS))
+        return max(SILENCE_CHECK_MS, min(due_ms, PROBE_AFTER_MS))
 
     def _backend_silence_ms(self) -> int:
-        return max(SILENCE_CHECK_MS, min(self._quiet_backends.due_ms(), QUIET_MS))
+        return max(SILENCE_CHECK_MS, min(self._quiet_backends.due_ms(), BACKEND_SILENCE_MS))
 
     def _renewal_interval_ms(self) -> int:
         return min(EXPIRY_INTERVAL_MS, self._renewals.interval_ms)
--- a/src/quincespool/limits/order.py
+++ b/src/quincespool/limits/order.py
@@ -25,7 +25,7 @@
     from quincespool.policy.urgency import Rank
 
 # A program before any was seen to its end.
-FIRST_PROGRAM = Shape(calls=12.0, took_ms=2_000.0)
+FIRST_PROGRAM = Shape(calls=12.0, duration_ms=2_000.0)
 # A program longer than usual still has calls to make; this many are kept for it.
 LEAST_REST_CALLS = 4.0
 # The part of an account's rate that is kept for programs that go before others, if so many of them
@@ -72,9 +72,9 @@
         self, kind: ProgramKind, bucket: Bucket, allowance: Allowance, now_ms: int
     ) -> float:
         """Returns how many calls short the account is of room for one more program; 0 if it has."""
-        usual = self._shapes.usual(kind)
-        promised = self._promised_calls(usual.took_ms, now_ms)
-        usual_s = usual.took_ms / 1000
+        usual = self._shapes.typical_shape(kind)
+        promised = self._promised_calls(usual.duration_ms, now_ms)
+        usual_s = usual.duration_ms / 1000
         supply = bucket.level_calls + allowance.rate_per_s * usual_s
         # An account whose limit is below the usual program may still begin one when it is at rest.
         need = min(usual.calls, supply)
@@ -83,7 +83,7 @@
 
     def is_under_way(self, program_id: str, now_ms: int) -> bool:
         """Whether a program has begun."""
-        return self._shapes.is_under_way(program_id, now_ms)
+        return self._shapes.is_in_progress(program_id, now_ms)
 
     def note_arrival(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
         """Takes in that a program would begin."""
@@ -95,15 +95,15 @@
 
     def note(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
         """Takes in a call that is let through."""
-        self._shapes.note(program_id, kind, now_ms)
+        self._shapes.record_call(program_id, kind, now_ms)
 
     def _promised_calls(self, within_ms: float, now_ms: int) -> defaultdict[Rank, float]:
         """Returns the calls that programs under way will make within a time, by rank."""
         promised: defaultdict[Rank, float] = defaultdict(float)
-        for (kind, calls), programs in self._shapes.under_way(now_ms):
-            usual = self._shapes.usual(kind)
+        for (kind, calls), programs in self._shapes.in_progress(now_ms):
+            usual = self._shapes.typical_shape(kind)
             total = max(usual.calls, calls + LEAST_REST_CALLS)
-            part = min(1.0, within_ms / max(1.0, usual.took_ms))
+            part = min(1.0, within_ms / max(1.0, usual.duration_ms))
             promised[kind.rank] += programs * min(total - calls, total * part)
         return promised
 
@@ -139,7 +139,7 @@
         """Returns the calls a second that programs which want to begin need, by rank."""
         wanted: defaultdict[Rank, float] = defaultdict(float)
         for kind, programs_per_s in self._demand.programs_per_s(now_ms):
-            wanted[kind.rank] += programs_per_s * self._shapes.usual(kind).calls
+            wanted[kind.rank] += programs_per_s * self._shapes.typical_shape(kind).calls
         return wanted
 
 
--- a/src/quincespool/policy/admission.py
+++ b/src/quincespool/policy/admission.py
@@ -1,10 +1,11 @@
-"""Whether a new program may begin while the engines of its service are full.
-
-Answers bursts that engines take into their queues. Each turn of each program then waits, so that
-nearly all programs are late, also those that are half done, and what is urgent finds the queues
-full of what is not. A new program begins only if the waits of its turns leave it time to end; one
-that has begun goes on. A host goes by how long its own turns waited: it asks nobody. An account
-that sends many times its usual, and fills the engines so, is the first that finds none.
+"""Admission control: whether a new program may begin while the engines of its service are full.
+
+Limits the damage of bursts that fill the queues of engines. Each turn of each program then waits,
+so that nearly all programs are late, including those that are half done, and urgent turns find the
+queues full of less urgent ones. A new program begins only if the expected waits of its turns leave
+it time to end; a program that has begun continues. A host estimates the waits from its own turns
+and sends no requests for it. Programs of an account that sends many times its usual load, and so
+fills the engines, are refused first.
 """
 
 from __future__ import annotations
@@ -20,62 +21,63 @@
     from quincespool.policy.program_shapes import ProgramKind
     from quincespool.policy.urgency import Rank
 
-# Part of the time that a new program has for which its turns may wait for engines. The rest is what
-# it takes on idle ones, and what the waits grow by before those who begin now have ended.
+# Part of a new program's remaining time for which its turns may wait for engines. The rest is for
+# its run time on idle engines, and for the growth of the waits until the programs that begin now
+# have ended.
 WAIT_SHARE = 0.5
-# The same where more urgent programs use the service: what is less urgent leaves room first.
+# The same where more urgent programs use the service: less urgent ones are refused first.
 LESS_URGENT_WAIT_SHARE = 0.35
-# What programs of an account that sends more than its usual have of that: engines are full of its
-# turns, and others find places while it waits.
-PRESSED_PART = 0.3
-# A program before any was seen to its end.
-FIRST_PROGRAM = Shape(calls=5.0, took_ms=2_000.0)
-# Turns that wait for nobody differ by as much, since their prompts do. No program is refused for
-# that, not even one that is late anyway.
-LEAST_WAIT_MS = 50.0
+# Factor on that part for programs of an account that sends more than its usual load: engines are
+# full of its turns, and programs of other accounts get slots while it waits.
+NEAR_LIMIT_FACTOR = 0.3
+# Expected calls and duration of a program before the end of any program was observed.
+INITIAL_SHAPE = Shape(calls=5.0, duration_ms=2_000.0)
+# Below this wait no program is refused, not even one that is late already: the times of turns that
+# do not wait differ by as much, since their prompts differ.
+MIN_WAIT_MS = 50.0
 # Weight of the newest turn in the mean wait.
 NEWEST_WEIGHT = 0.2
-# A wait holds for so long without another turn, and then halves as often: whoever is let in shows
-# what it is now.
+# Without another turn a measured wait stays valid for FRESH_MS and then halves every HALF_LIFE_MS:
+# the turns of the programs that are admitted then show the present wait.
 FRESH_MS = 500
 HALF_LIFE_MS = 500
-# What a turn that no engine takes is expected to wait for: a queue as long as two batches.
+# Wait that is recorded for a turn that no engine accepts: that of a queue as long as two batches.
 FULL_WAIT_MS = 400.0
-# The least time to a turn's first event is taken over one to two of these: long enough that a turn
-# met an idle engine.
-QUICKEST_MS = 10_000
-LEAST_RETRY_MS = 250
-MOST_RETRY_MS = 1_000
+# The least time to a turn's first event is taken over one to two periods of this length, which is
+# long enough for at least one turn to have met an idle engine.
+MIN_LATENCY_PERIOD_MS = 10_000
+MIN_RETRY_MS = 250
+MAX_RETRY_MS = 1_000
 
 
 class NewProgram(NamedTuple):
-    """A program whose first turn has come.
+    """A program whose first turn has arrived.
 
     Attributes:
-      service: Whose engines run it.
-      kind: What it is expected to be like.
-      left_ms: Until it should be finished.
-      is_pressed: Whether its account has used most of what it may have run.
+      service: The service whose engines run it.
+      kind: Its kind, which tells the number of turns to expect.
+      left_ms: Time until it should be finished.
+      is_near_limit: Whether its account has used half of its bucket or more.
     """
 
     service: str
     kind: ProgramKind
     left_ms: int
-    is_pressed: bool = False
+    is_near_limit: bool = False
 
 
 class Rejection(NamedTuple):
-    """The program can't end in time.
+    """The refusal of a program that is not expected to end in time.
 
     Attributes:
-      wait_ms: For which each of its turns is expected to wait.
-      age_ms: How old the newest wait is that tells so.
-      turns: That it is expected to have.
-      retry_after_ms: When room may be there.
+      wait_ms: How long each of its turns is expected to wait.
+      wait_age_ms: Age of the newest measured wait on which the estimate is based.
+      turns: The number of turns that it is expected to have.
+      retry_after_ms: Time after which it may be admitted.
     """
 
     wait_ms: float
-    age_ms: int
+    wait_age_ms: int
     turns: float
     retry_after_ms: int
 
@@ -89,84 +91,84 @@
         return self.mean_ms * math.exp2(-age_ms / HALF_LIFE_MS)
 
 
-class _Quickest(NamedTuple):
-    """The least time of this period and of the one before it."""
+class _LeastLatency(NamedTuple):
+    """The least time to the first event in this period and in the one before it."""
 
     since_ms: int
     least_ms: float
-    before_ms: float
+    previous_ms: float
 
-    def seen(self, took_ms: float, now_ms: int) -> _Quickest:
-        if now_ms - self.since_ms >= QUICKEST_MS:
-            return _Quickest(now_ms, took_ms, self.least_ms)
+    def with_sample(self, took_ms: float, now_ms: int) -> _LeastLatency:
+        if now_ms - self.since_ms >= MIN_LATENCY_PERIOD_MS:
+            return _LeastLatency(now_ms, took_ms, self.least_ms)
         return self._replace(least_ms=min(self.least_ms, took_ms))
 
 
 class AdmissionControl:
-    """How long turns of each service wait for engines, as one host sees it."""
+    """Refuses new programs by how long the turns of this host waited at each service."""
 
     def __init__(self) -> None:
         self._waits: dict[tuple[str, Rank], _Wait] = {}
-        self._quickest: dict[str, _Quickest] = {}
-        self._shapes = ProgramShapes(FIRST_PROGRAM)
+        self._least_latencies: dict[str, _LeastLatency] = {}
+        self._shapes = ProgramShapes(INITIAL_SHAPE)
 
-    def note_turn(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
-        """Takes in that a turn goes to an engine."""
-        self._shapes.note(program_id, kind, now_ms)
+    def record_turn(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
+        """Records that a turn is sent to an engine."""
+        self._shapes.record_call(program_id, kind, now_ms)
 
-    def note_begin(self, service: str, rank: Rank, took_ms: float, now_ms: int) -> None:
-        """Takes in how long a turn took to its first event."""
-        known = self._quickest.get(service) or _Quickest(now_ms, took_ms, took_ms)
-        quickest = known.seen(took_ms, now_ms)
-        self._quickest[service] = quickest
-        wait_ms = took_ms - min(quickest.least_ms, quickest.before_ms)
-        self._note_wait(service, rank, wait_ms, now_ms)
+    def record_first_event(self, service: str, rank: Rank, took_ms: float, now_ms: int) -> None:
+        """Records the time from sending a turn to its first event."""
+        known = self._least_latencies.get(service) or _LeastLatency(now_ms, took_ms, took_ms)
+        least = known.with_sample(took_ms, now_ms)
+        self._least_latencies[service] = least
+        wait_ms = took_ms - min(least.least_ms, least.previous_ms)
+        self._record_wait(service, rank, wait_ms, now_ms)
 
-    def note_full(self, service: str, rank: Rank, now_ms: int) -> None:
-        """Takes in that no engine took a turn."""
-        self._note_wait(service, rank, FULL_WAIT_MS, now_ms)
+    def record_full(self, service: str, rank: Rank, now_ms: int) -> None:
+        """Records that no engine accepted a turn."""
+        self._record_wait(service, rank, FULL_WAIT_MS, now_ms)
 
     def wait_ms(self, service: str, rank: Rank, now_ms: int) -> float:
-        """Returns for how long a turn is expected to wait.
+        """Returns how long a turn is expected to wait.
 
-        Engines take urgent turns first, so that no turn waits for less than a more urgent one.
+        Engines run urgent turns first, so that no turn waits less long than a more urgent one.
         """
-        return _longest_ms(self._waits_up_to(service, rank), now_ms)
+        return _longest_ms(self._waits_of_rank_or_above(service, rank), now_ms)
 
     def reject(self, program: NewProgram, now_ms: int) -> Rejection | None:
-        """Returns why a new program may not begin, None if it may."""
+        """Returns the refusal of a new program, None if it may begin."""
         service, rank = program.service, program.kind.rank
-        waits = self._waits_up_to(service, rank)
+        waits = self._waits_of_rank_or_above(service, rank)
         wait_ms = _longest_ms(waits, now_ms)
-        turns = self._shapes.usual(program.kind).calls
+        turns = self._shapes.typical_shape(program.kind).calls
         yields = any(other == service and before < rank for other, before in self._waits)
         share = LESS_URGENT_WAIT_SHARE if yields else WAIT_SHARE
-        share *= PRESSED_PART if program.is_pressed else 1.0
-        if wait_ms < LEAST_WAIT_MS or wait_ms * turns <= share * max(0, program.left_ms):
+        share *= NEAR_LIMIT_FACTOR if program.is_near_limit else 1.0
+        if wait_ms < MIN_WAIT_MS or wait_ms * turns <= share * max(0, program.left_ms):
             return None
-        retry_ms = min(MOST_RETRY_MS, max(LEAST_RETRY_MS, round(2 * wait_ms)))
+        retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, round(2 * wait_ms)))
         age_ms = now_ms - max(wait.seen_ms for wait in waits)
         return Rejection(wait_ms, age_ms, turns, retry_ms)
 
     def learn(self, now_ms: int) -> None:
-        """Learns from programs that are over."""
+        """Learns the number of turns from programs that have ended."""
         self._shapes.learn(now_ms)
 
     def dump(self, now_ms: int) -> dict[str, float]:
         """Returns the expected waits by service and rank, for people to read."""
         return {
-            f"{service} {rank.first}.{rank.then}": round(wait.faded_ms(now_ms), 1)
+            f"{service} {rank.primary}.{rank.secondary}": round(wait.faded_ms(now_ms), 1)
             for (service, rank), wait in self._waits.items()
         }
 
-    def _waits_up_to(self, service: str, rank: Rank) -> list[_Wait]:
+    def _waits_of_rank_or_above(self, service: str, rank: Rank) -> list[_Wait]:
         return [
             wait
             for (other, other_rank), wait in self._waits.items()
             if other == service and other_rank <= rank
         ]
 
-    def _note_wait(self, service: str, rank: Rank, wait_ms: float, now_ms: int) -> None:
+    def _record_wait(self, service: str, rank: Rank, wait_ms: float, now_ms: int) -> None:
         known = self._waits.get((service, rank))
         mean_ms = known.faded_ms(now_ms) if known is not None else 0.0
         mean_ms += NEWEST_WEIGHT * (wait_ms - mean_ms)
--- a/src/quincespool/policy/cache_plan.py
+++ b/src/quincespool/policy/cache_plan.py
@@ -10,24 +10,24 @@
     from quincespool.policy.protocol import PauseView
 
 CROWDED = 0.85
-"""Share of a backend server's cache in use from which what pauses is in others' way."""
+"""Share of a backend server's cache in use from which paused programs take up needed space."""
 
 FULL_TURNOVER_MS = 30_000.0
 """First guess of how long a full cache takes to be overwritten once."""
 
 EXPORT_MS_PER_TOKEN = 0.01
-"""Moving a token's cache out and in again, a cautious guess for hosts on one network."""
+"""Time to export and import the cache of a token, a cautious guess for hosts on one network."""
 
 
 def plan_cache(
     pause: PauseView, *, expected_pause_ms: float, prefill_ms_per_token: float
 ) -> CacheAction:
-    """Returns what costs the engine least.
+    """Returns the action that costs the engine least.
 
-    With room to spare, or for a short pause, the cache stays. In a crowded engine it would be
-    pushed out during a long pause and computed again afterwards, so it is exported first. Engines
-    that don't export keep it: releasing it early was tried and only added to what is computed
-    again (docs/measurements.md).
+    The cache stays while the engine has room, and for short pauses. In a crowded engine it would be
+    evicted during a long pause and computed again afterwards, so it is exported first. Engines that
+    can't export keep it: releasing it early only adds to the tokens that are computed again
+    (docs/measurements.md).
     """
     backend = pause.backend
     if not pause.can_export or prefill_ms_per_token <= EXPORT_MS_PER_TOKEN:
--- a/src/quincespool/policy/estimates.py
+++ b/src/quincespool/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Small estimators: how long calls take and how long tools let a program wait.
+"""Estimators of how long calls take and how long programs pause for tools.
 
 All are exponentially weighted means that start from a first guess, so a new process decides
 sensibly before it has seen anything and adapts within a few dozen observations.
@@ -13,7 +13,7 @@
 
 SMOOTHING = 0.05
 MIN_COMPUTED_TOKENS = 256
-"""Shorter prompts say little about the speed of computing one."""
+"""Prompts with fewer computed tokens say little about the speed of computing a prompt."""
 
 FIRST_PREFILL_MS_PER_TOKEN = 0.15
 FIRST_DECODE_MS_PER_TOKEN = 26.0
@@ -31,7 +31,7 @@
         self.service_ms = FIRST_SERVICE_MS
 
     def observe(self, outcome: CallOutcome) -> None:
-        """Takes note of a finished call."""
+        """Updates the estimates with a finished call."""
         self.service_ms = _smooth(self.service_ms, outcome.service_ms)
         if outcome.computed_tokens >= MIN_COMPUTED_TOKENS:
             speed = outcome.first_token_ms / outcome.computed_tokens
@@ -49,14 +49,14 @@
         self._by_tool_ms: dict[str, float] = {}
 
     def observe(self, tool: str, pause_ms: int) -> None:
-        """Takes note of a pause that is over."""
+        """Updates the estimates with a pause that has ended."""
         self._overall_ms = _smooth(self._overall_ms, pause_ms)
         known_ms = self._by_tool_ms.get(tool)
         if known_ms is not None:
             self._by_tool_ms[tool] = _smooth(known_ms, pause_ms)
             return
-        # Labels may come from callers. If they make up new ones without end, memory grows until
-        # the process dies; past this bound new ones share the overall mean.
+        # Labels may come from callers. If they sent ever new ones, memory would grow until the
+        # process dies; beyond this limit new labels share the overall mean.
         if len(self._by_tool_ms) < MAX_TOOLS:
             self._by_tool_ms[tool] = float(pause_ms)
 
--- a/src/quincespool/policy/least_loaded.py
+++ b/src/quincespool/policy/least_loaded.py
@@ -1,7 +1,7 @@
 """Least loaded: the backend server that reports the fewest running calls.
 
-The report lags. A plain minimum would send everything to one backend server until the next report
-comes, so the policy adds what it has itself sent there since the report last changed.
+The report lags. A plain minimum would send all calls to one backend server until the next report
+arrives, so the policy adds the calls that it has sent there since the report last changed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class LeastLoaded:
-    """Compares reported load relative to slots; order of arrival at each backend server."""
+    """Compares reported load relative to slots; backend servers run calls in order of arrival."""
 
     def __init__(self, *, seed: int) -> None:
         self._seed = seed
@@ -26,23 +26,23 @@
         self._sent_since: dict[str, int] = {}
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the least loaded; ties are broken by a hash, differently for each seed."""
+        """Returns the least loaded one; a hash breaks ties, differently for each seed."""
         for backend in backends:
-            self._take_report(backend)
+            self._update_report(backend)
         salt = f"{self._seed}|{call.program_id}|{call.call_number}|"
         best = min(backends, key=lambda b: (self._load(b), stable_hash(salt + b.name)))
         self._sent_since[best.name] += 1
         return best.name
 
     def rank(self, call: CallView, *, now_ms: int = 0, backend: BackendView | None = None) -> int:
-        """Returns the same for all: order of arrival."""
+        """Returns the same rank for all calls, so that they run in order of arrival."""
         return 0
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
-        """Refuses when all queues are full."""
+        """Refuses the call if all queues are full."""
         return admit_by_queue(call, backends)
 
-    def _take_report(self, backend: BackendView) -> None:
+    def _update_report(self, backend: BackendView) -> None:
         if self._last_report.get(backend.name) == backend.reported_running:
             return
         self._last_report[backend.name] = backend.reported_running
--- a/src/quincespool/policy/placement.py
+++ b/src/quincespool/policy/placement.py
@@ -1,9 +1,10 @@
-"""Which of several sound backend servers gets a call.
+"""Chooses which of several healthy backend servers gets a call.
 
-Answers uneven load: a batch that is full makes a call wait while others have room. A daemon goes by
-its own calls under way and by how long answers took to begin, which shows the calls of all others
-too. It does not ask the others: what they have under way has changed by the time one hears of it.
-Engines that are faster than others of their service get more.
+Avoids uneven load: at an engine whose batch is full a call waits while other engines have free
+slots. A daemon decides by its own calls in flight and by the time that answers took to begin, which
+reflects the calls of all other daemons too. It does not query the others: their calls in flight
+have changed by the time that an answer arrives. Engines that are faster than others of their
+service get more calls.
 """
 
 from __future__ import annotations
@@ -15,25 +16,29 @@
     import random
     from collections.abc import Sequence
 
-# Part of its slots by which a backend server of the own zone may be busier and is still preferred:
-# traffic between zones is paid for, and histories make most of it. Owners are spread unevenly over
-# the zones, and with much more than this those of a crowded zone fill its engines first.
+# A backend server of the daemon's zone is preferred while it is busier than one of another zone by
+# at most this part of its slots: traffic between zones is paid for, and histories make up most of
+# it. Owners are spread unevenly over the zones, and with a much higher value the owners of a zone
+# that has many of them fill its engines first.
 OTHER_ZONE_LOAD = 0.25
 # How much busier, in parts of its slots, an engine that holds a program's cache may be than the
-# least busy one. Reading a history again takes about as long as waiting for a third of a batch.
+# least busy one. Computing a history again takes about as long as waiting for a third of a batch.
 AFFINITY_SLACK = 0.34
-# A process that has just started reads and computes slowly, as if a whole batch were ahead.
+# Load added for a process that has just started: it reads and computes as slowly as if a call had
+# to wait for a whole batch.
 COLD_LOAD = 1.0
-# What an answer's beginning that is late by the time of a whole call counts, in parts of the slots.
-# A queue as long as the batch delays it by that much; half, since it is seen by chance, of few.
+# Load, in parts of the slots, added for answers that begin later than usual by the time of a
+# complete call. A queue as long as the batch delays them by that much; it counts half, since the
+# lateness is measured on a few calls and varies by chance.
 LATENESS_LOAD = 0.5
-# What a new connection counts: it takes a round trip, a place at the backend server, and is paid
-# for. Less than one more call in a batch of six, so that calls at the same time still spread.
+# Cost of opening a connection, which takes a round trip and a place at the backend server, and is
+# paid for. It is less than one more call in a batch of six, so that concurrent calls still spread.
 CONNECT_LOAD = 0.1
-# What it counts that an engine takes twice the usual time. A slow one still gets calls, as soon as
-# those that are faster begin to fill.
+# Load added for an engine that takes twice the usual time. A slow engine still gets calls once the
+# faster ones begin to fill.
 SLOWNESS_LOAD = 0.4
-# Spreads ties, so that daemons with the same knowledge don't all choose alike.
+# Upper bound of the random cost that breaks ties, so that daemons with the same data don't all
+# choose the same backend server.
 TIE_LOAD = 0.05
 
 
@@ -41,19 +46,20 @@
     """A backend server that a call may be sent to.
 
     Attributes:
-      busy: Own calls under way there, as a part of its slots.
-      is_near: Whether it is in the availability zone of the daemon.
-      is_cold: Whether it has started so lately that it is still slow.
-      is_connected: Whether a kept connection to it is idle.
-      lateness: How much later than usual its answers begin, in usual times of a whole call.
-      slowness: How many times the usual time between events it takes.
+      busy: This daemon's calls in flight there, as a part of its slots.
+      is_in_same_zone: Whether it is in the availability zone of the daemon.
+      is_cold: Whether it has started so recently that it is still slow.
+      has_idle_connection: Whether an open connection to it is idle.
+      lateness: How much later than usual its answers begin, in multiples of the usual time of a
+        complete call.
+      slowness: Its time between events, in multiples of the usual one of its service.
     """
 
     backend_id: str
     busy: float
-    is_near: bool
+    is_in_same_zone: bool
     is_cold: bool
-    is_connected: bool
+    has_idle_connection: bool
     lateness: float
     slowness: float = 1.0
 
@@ -63,8 +69,9 @@
 
     Args:
       candidates: At least one.
-      preferred_id: The one that holds what the call would have to read again; may be none of them.
-      rng: Breaks ties.
+      preferred_id: The engine that holds the program's cache, without which the history is computed
+        again; need not be among the candidates.
+      rng: Random numbers that break ties.
     """
     best = min(candidates, key=lambda one: _cost(one, rng))
     for one in candidates:
@@ -74,9 +81,9 @@
 
 
 def _cost(candidate: Candidate, rng: random.Random) -> float:
-    far = 0.0 if candidate.is_near else OTHER_ZONE_LOAD
-    connect = 0.0 if candidate.is_connected else CONNECT_LOAD
-    return _load(candidate) + far + connect + rng.random() * TIE_LOAD
+    other_zone = 0.0 if candidate.is_in_same_zone else OTHER_ZONE_LOAD
+    connect = 0.0 if candidate.has_idle_connection else CONNECT_LOAD
+    return _load(candidate) + other_zone + connect + rng.random() * TIE_LOAD
 
 
 def _load(candidate: Candidate) -> float:
--- a/src/quincespool/policy/polling.py
+++ b/src/quincespool/policy/polling.py
@@ -1,37 +1,40 @@
-"""How often each of many daemons reads the same entries from the store.
+"""Computes how often each daemon reads the shared entries from the store.
 
-Answers fleets of hundreds of hosts: read as often as by ten, the entries alone would take the
-store's rate; read ever less often, they would tell too late that a backend server leaves.
+If each of hundreds of hosts read the entries as often as each of ten does, the reads alone would
+use up the request rate of the store. If the interval grew without limit, daemons would see too late
+that a backend server leaves.
 """
 
 from __future__ import annotations
 
-# Between two reads of the daemons' entries, for each daemon that is known, and at the most. When
-# hundreds start within a second, each entry would else wake a read of all others: 195 hosts make
-# 38,025 requests then, more than the store takes, and 3,315 with this pause (virtual time).
-MEMBERS_MS_PER_DAEMON = 1.5
-MEMBERS_MOST_MS = 1_000
-# At a hundred daemons each one reads once a second, so that all together read a hundred times.
-MS_PER_DAEMON = 10
-# A backend server that leaves serves for two seconds more at the least; a read takes up to half a
-# second when the store is slow. At 740 daemons the store gets 493 reads a second.
-MOST_MS = 1_500
-
-
-def entries_interval_ms(least_ms: int, daemons: int) -> int:
+# Pause between two reads of the daemons' entries, per known daemon, and its upper limit. When
+# hundreds start within a second, each new entry would otherwise trigger a read by all others: 195
+# hosts would make 38,025 requests, more than the store accepts; with this pause they make 3,315
+# (virtual time).
+DAEMON_ENTRIES_MS_PER_DAEMON = 1.5
+MAX_DAEMON_ENTRIES_MS = 1_000
+# With a hundred daemons each one reads once a second, so that all together read a hundred times.
+BACKEND_ENTRIES_MS_PER_DAEMON = 10
+# Upper limit of the interval. A backend server that leaves still serves for at least two seconds; a
+# read takes up to half a second when the store is slow. With 740 daemons the store gets 493 reads a
+# second.
+MAX_BACKEND_ENTRIES_MS = 1_500
+
+
+def backend_entries_interval_ms(min_ms: int, daemons: int) -> int:
     """Returns the pause between two reads of the entries of backend servers.
 
     Args:
-      least_ms: With few daemons.
-      daemons: How many there are.
+      min_ms: The interval with few daemons.
+      daemons: Number of daemons.
     """
-    return max(least_ms, min(MOST_MS, MS_PER_DAEMON * daemons))
+    return max(min_ms, min(MAX_BACKEND_ENTRIES_MS, BACKEND_ENTRIES_MS_PER_DAEMON * daemons))
 
 
-def members_pause_ms(daemons: int) -> int:
-    """Returns the pause between two reads of the entries of daemons, which wait for news.
+def daemon_entries_pause_ms(daemons: int) -> int:
+    """Returns the pause between two reads of the entries of daemons, which wait for changes.
 
     Args:
-      daemons: How many are known.
+      daemons: Number of known daemons.
     """
-    return int(min(MEMBERS_MOST_MS, MEMBERS_MS_PER_DAEMON * daemons))
+    return int(min(MAX_DAEMON_ENTRIES_MS, DAEMON_ENTRIES_MS_PER_DAEMON * daemons))
--- a/src/quincespool/policy/prefix_affinity.py
+++ b/src/quincespool/policy/prefix_affinity.py
@@ -1,4 +1,4 @@
-"""Prefix affinity: each call by itself, first come first served, where its prefix is cached.
+"""Prefix affinity: sends each call where its prefix is cached, in order of arrival.
 
 The rule is that of the common cache-aware routers: follow the cache while the load is balanced,
 else take the shortest queue.
@@ -20,11 +20,11 @@
 """Share of the prompt that must be cached for the cache to count."""
 
 IMBALANCE = 1.5
-"""How much more of its slots than the least busy one's a cache holder may have taken."""
+"""How much busier, in multiples of its slots, a cache holder may be than the least busy one."""
 
 
 class PrefixAffinity:
-    """Sees exact queues and cached prefixes, but of the program nothing but the one call."""
+    """Uses exact queue lengths and cached prefixes, and of the program just the one call."""
 
     def __init__(self, *, seed: int) -> None:
         self._seed = seed
@@ -39,11 +39,11 @@
         return shortest.name
 
     def rank(self, call: CallView, *, now_ms: int = 0, backend: BackendView | None = None) -> int:
-        """Returns the same for all: order of arrival."""
+        """Returns the same rank for all calls, so that they run in order of arrival."""
         return 0
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
-        """Refuses when all queues are full."""
+        """Refuses the call if all queues are full."""
         return admit_by_queue(call, backends)
 
     def _tie(self, call: CallView, backend: BackendView) -> int:
--- a/src/quincespool/policy/program_aware.py
+++ b/src/quincespool/policy/program_aware.py
@@ -1,13 +1,13 @@
-"""The product's own policy: decides for whole programs, whose shape nobody knows beforehand.
+"""The default policy: decides for whole programs, whose length is not known beforehand.
 
 Order: earliest deadline of the whole program first. Programs that have had much service yield to
-those that have had little, within a bound (see `ProgramAware.rank`).
+those that have had little, within a limit (see `ProgramAware.rank`).
 
-Place: the backend server where the call is expected to be done first, computing again counted as
-dearly as the class asks (see `ProgramAware.choose`).
+Placement: the backend server on which the call is expected to end first, where the cost of
+computing prefixes again is weighted as the class entry says (see `ProgramAware.choose`).
 
-Admission: new programs wait outside while the queues would cost them too much of their time, or
-while the prefixes of the live programs fill the caches. A program under way is never shed.
+Admission: new programs are refused while waiting in the queues would take too much of their time,
+or while the prefixes of the live programs fill the caches. A program in progress is never shed.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     from quincespool.policy.protocol import PauseView
 
 NEAR_TIE_MS = 20.0
-"""Costs that differ by less are alike; the estimates are no better than that."""
+"""Costs that differ by less count as equal: the estimates are no more precise than that."""
 
 
 NOT_URGENT_MS = 600_000
-"""A new program with more time than this left has no claim to a full cache."""
+"""A new program with more time left than this gets none of `Tuning.urgent_extra_fill`."""
 
 CACHE_TURNOVER_MS = 60_000
-"""First guess of how long the live programs of a full cache take to make room for as many."""
+"""First guess of how long it takes until a full cache's live programs have all been replaced."""
 
 MIN_RETRY_MS = 1000
 
@@ -45,30 +45,34 @@
     """The policy's constants.
 
     Attributes:
-      attained_share: How much of the service a program has had counts against it.
-      attained_cap_ms: The most that attained service can count, so that nobody starves.
-      priority_ms: What one step of the class entry's priority is worth.
-      overtaking: Share of a queue that a call of a program under way still waits for.
-      stay: How many times its own cost computing a prefix again counts; it delays others, too.
-      crowding: Weight of the cache that a new prefix pushes out of a full backend server.
-      admit_share: Share of the time it has left that a new program may spend in the queue.
-      fill: Share of all cache that live programs may fill before new ones have to wait.
-      patience: How much further the most urgent new ones may fill it.
+      attained_share: Part of the service that a program has had by which its rank is delayed.
+      attained_cap_ms: Upper limit of that delay, so that no program starves.
+      priority_ms: Delay of the rank for each step of the class entry's priority.
+      queue_share: Share of a queue that a call of a program in progress still waits for.
+      recompute_factor: Multiple of its own cost that computing a prefix again counts, since it
+        delays other calls, too.
+      eviction_weight: Weight of the cache that a new prefix evicts from a full backend server.
+      admit_share: Share of its remaining time that a new program may spend in the queue.
+      max_fill: Share of all cache that live programs may fill before new ones have to wait.
+      urgent_extra_fill: Additional share that the most urgent new programs may fill.
     """
 
     attained_share: float = 1.0
     attained_cap_ms: int = 60_000
     priority_ms: int = 5_000
-    overtaking: float = 0.2
-    stay: float = 5.0
-    crowding: float = 1.0
+    queue_share: float = 0.2
+    recompute_factor: float = 5.0
+    eviction_weight: float = 1.0
     admit_share: float = 0.3
-    fill: float = 0.95
-    patience: float = 0.4
+    max_fill: float = 0.95
+    urgent_extra_fill: float = 0.4
 
 
 class ProgramAware:
-    """See the module. Its state is what it has learned of speeds and pauses, nothing else."""
+    """Implements the policy that the module describes.
+
+    Its only state is the estimates of speeds and pauses.
+    """
 
     def __init__(
         self,
@@ -85,7 +89,7 @@
         self._pauses = PauseEstimator()
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns where the call costs least: time until done plus the price of computing again."""
+        """Returns the backend server of the least cost: time to the end plus recomputing cost."""
         costs_ms = self._costs_ms(call, backends)
         limit_ms = min(costs_ms) + NEAR_TIE_MS
         best = [b for b, cost_ms in zip(backends, costs_ms, strict=True) if cost_ms <= limit_ms]
@@ -94,10 +98,11 @@
         return self._break_tie(call, best, backends).name
 
     def rank(self, call: CallView, *, now_ms: int = 0, backend: BackendView | None = None) -> int:
-        """Returns a point in time, near the program's deadline; earlier runs first.
+        """Returns a point in time near the program's deadline; earlier ones run first.
 
-        It does not move on with time while that which shifts it is bounded. So a waiting call is
-        overtaken only by programs whose deadlines are later by at most the bounds: nobody starves.
+        The rank of a waiting call is fixed, and its distance from the deadline is bounded. A
+        waiting call is therefore overtaken only by programs whose deadlines are later by at most
+        these bounds, so that no program starves.
         """
         tuning = self._tuning
         rank = now_ms + call.deadline_left_ms
@@ -105,9 +110,9 @@
         return rank + tuning.priority_ms * call.priority
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
-        """Sheds programs at their first call only, while it costs nobody any work done.
+        """Sheds programs only at their first call, when no work is lost.
 
-        A call whose own deadline cannot be met any more is refused for good (`retry_after_ms` 0).
+        A call whose own deadline can't be met any more is refused for good (`retry_after_ms` 0).
         """
         if call.deadline_left_ms < self._shortest_ms(call, backends):
             return Admission(admitted=False)
@@ -115,15 +120,17 @@
             return Admission(admitted=True)
         drain_ms = self._drain_ms(backends)
         if drain_ms > self._tuning.admit_share * call.deadline_left_ms:
-            return Admission(admitted=False, retry_after_ms=self._come_back_ms(call, drain_ms / 2))
-        over = self._overfilled(call, backends)
-        if over > 0:
-            room_ms = over * CACHE_TURNOVER_MS
-            return Admission(admitted=False, retry_after_ms=self._come_back_ms(call, room_ms))
+            return Admission(
+                admitted=False, retry_after_ms=self._retry_after_ms(call, drain_ms / 2)
+            )
+        excess = self._excess_fill(call, backends)
+        if excess > 0:
+            room_ms = excess * CACHE_TURNOVER_MS
+            return Admission(admitted=False, retry_after_ms=self._retry_after_ms(call, room_ms))
         return Admission(admitted=True)
 
     def plan_pause(self, pause: PauseView) -> CacheAction:
-        """Weighs the expected pause of this tool against computing the prefix again."""
+        """Compares the expected pause for this tool with the cost of computing the prefix again."""
         return plan_cache(
             pause,
             expected_pause_ms=self._pauses.expected_ms(pause.tool),
@@ -131,47 +138,47 @@
         )
 
     def observe_call(self, outcome: CallOutcome) -> None:
-        """Learns the speeds of the engines."""
+        """Updates the estimated speeds of the engines."""
         self._service.observe(outcome)
 
     def observe_pause(self, tool: str, pause_ms: int) -> None:
-        """Learns how long a tool takes."""
+        """Updates the estimated time of a tool."""
         self._pauses.observe(tool, pause_ms)
 
-    def _overfilled(self, call: CallView, backends: list[BackendView]) -> float:
-        """Returns by what share of all cache the call would go beyond what it may fill.
+    def _excess_fill(self, call: CallView, backends: list[BackendView]) -> float:
+        """Returns by what share of all cache the call would exceed the share that it may fill.
 
-        When the prefixes of the live programs no longer fit, each call pushes out the prefix of a
-        program that will need it again; one notices that engines are busy and few programs end.
-        New programs therefore wait for room, those nearest to their deadlines getting in first.
+        When the prefixes of the live programs no longer fit, each call evicts the prefix of a
+        program that will need it again; the symptom is busy engines while few programs end. New
+        programs therefore wait for room, and those nearest to their deadlines are admitted first.
         """
         capacity = sum(b.capacity_tokens for b in backends)
         if capacity <= 0:
             return 0.0
         live = sum(b.live_tokens for b in backends)
         urgency = 1 - min(call.deadline_left_ms / NOT_URGENT_MS, 1.0)
-        fill = self._tuning.fill + self._tuning.patience * urgency
+        fill = self._tuning.max_fill + self._tuning.urgent_extra_fill * urgency
         return (live + call.prompt_tokens) / capacity - fill
 
     def _costs_ms(self, call: CallView, backends: list[BackendView]) -> list[float]:
-        """Returns the cost for each backend server; one loop, since it runs for every call."""
+        """Returns the cost for each backend server, in one loop since it runs for every call."""
         tuning = self._tuning
         prefill_ms = self._service.prefill_ms_per_token
         service_ms = self._service.service_ms
         uncached_tokens = call.prompt_tokens - call.exported_tokens
         overtakes = call.call_number > 1 or call.sub_agent
-        again_price = tuning.stay if call.call_number > 1 else 0.0
+        recompute_weight = tuning.recompute_factor if call.call_number > 1 else 0.0
         costs_ms = []
         for backend in backends:
             slots = backend.slots or 1
             ahead = backend.running + backend.waiting + 1 - slots
             if ahead > 1 and overtakes:
-                ahead = 1 + int(tuning.overtaking * (ahead - 1))
+                ahead = 1 + int(tuning.queue_share * (ahead - 1))
             wait_ms = ahead * service_ms / slots if ahead > 0 else 0.0
             slowdown_ms = service_ms * backend.running / (4 * slots)
             computed = max(uncached_tokens - backend.cached_tokens, 0)
-            harm = again_price * computed + self._crowding_tokens(backend, computed)
-            recompute_ms = prefill_ms * (computed + self._recompute_price * harm)
+            delay_tokens = recompute_weight * computed + self._crowding_tokens(backend, computed)
+            recompute_ms = prefill_ms * (computed + self._recompute_price * delay_tokens)
             costs_ms.append(wait_ms + backend.load_ms + slowdown_ms + recompute_ms)
         return costs_ms
 
@@ -179,9 +186,9 @@
         capacity = backend.capacity_tokens
         if capacity <= 0 or computed_tokens == 0:
             return 0.0
-        pushed_out = min(max(backend.live_tokens + computed_tokens - capacity, 0), computed_tokens)
+        evicted = min(max(backend.live_tokens + computed_tokens - capacity, 0), computed_tokens)
         filled = backend.live_tokens / capacity
-        return self._tuning.crowding * (pushed_out + filled * computed_tokens / 4)
+        return self._tuning.eviction_weight * (evicted + filled * computed_tokens / 4)
 
     def _shortest_ms(self, call: CallView, backends: list[BackendView]) -> float:
         cached = max(b.cached_tokens for b in backends) + call.exported_tokens
@@ -192,9 +199,9 @@
         slots = sum(b.slots for b in backends)
         return waiting * self._service.service_ms / max(slots, 1)
 
-    def _come_back_ms(self, call: CallView, wait_ms: float) -> int:
-        # Callers that were refused together would come back together and be refused again, which
-        # shows as bursts of refusals with idle engines between; the hash spreads them.
+    def _retry_after_ms(self, call: CallView, wait_ms: float) -> int:
+        # Callers that were refused together would retry together and be refused again, which shows
+        # as bursts of refusals with idle engines in between; the hash spreads the retries.
         least_ms = int(wait_ms) + MIN_RETRY_MS
         salt = f"{self._seed}|{call.program_id}|{call.deadline_left_ms}"
         return least_ms + stable_hash(salt) % (least_ms // 2)
@@ -202,7 +209,7 @@
     def _break_tie(
         self, call: CallView, best: list[BackendView], backends: list[BackendView]
     ) -> BackendView:
-        """Returns one in the zone with the least live work, so that losing a zone costs least."""
+        """Returns one in the zone with the least live work, to limit the loss if a zone fails."""
         zone_tokens: dict[str, int] = {}
         for backend in backends:
             tokens = backend.live_tokens or backend.waiting_tokens
--- a/src/quincespool/policy/program_shapes.py
+++ b/src/quincespool/policy/program_shapes.py
@@ -1,6 +1,7 @@
-"""What programs of a kind are usually like, learned from those that are over.
+"""The typical number of calls and duration of programs, learned from programs that have ended.
 
-Nobody says how long a program will be, or when it has ended: it has when it asks for nothing more.
+Callers don't say how long a program will be, or when it has ended: it counts as ended when it has
+made no call for some time.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# A program that has asked for nothing for so long is over: longer than a turn on a full engine and
+# A program that has made no call for this long has ended: longer than a turn on a full engine and
 # the pause of a tool after it.
 IDLE_MS = 2_000
-# Weight of the newest program in what is usual for its kind: about the last ten count.
+# Weight of the newest program in the typical shape of its kind: about the last ten count.
 NEWEST_WEIGHT = 0.1
-# Programs that are remembered, the longest quiet given up first.
+# Programs that are tracked; the one whose last call is the oldest is evicted first.
 MAX_PROGRAMS = 4_096
-# Kinds of programs of which it is remembered what is usual.
+# Kinds of programs whose typical shape is stored.
 MAX_KINDS = 64
 
 
 class ProgramKind(NamedTuple):
-    """What a program is expected to be like.
+    """A group of programs that are expected to have similar shapes.
 
     Attributes:
-      name: Such as its route.
-      rank: Importance.
+      name: Name of the group, such as the route.
+      rank: Importance of the programs.
     """
 
     name: str = ""
@@ -38,19 +39,19 @@
 
 
 class Shape(NamedTuple):
-    """What is usual for a kind of program.
+    """Size and duration of a program, or their averages over a kind of program.
 
     Attributes:
-      calls: That it makes.
-      took_ms: From its first call to its last.
+      calls: Number of its calls.
+      duration_ms: Time from its first call to its last.
     """
 
     calls: float
-    took_ms: float
+    duration_ms: float
 
 
 class Progress(NamedTuple):
-    """How far a program is: the calls that it has made."""
+    """The number of calls that a program has made so far."""
 
     kind: ProgramKind
     calls: int
@@ -59,26 +60,27 @@
 class _Running(NamedTuple):
     progress: Progress
     began_ms: int
-    asked_ms: int
+    last_call_ms: int
 
 
 class ProgramShapes:
-    """The programs that one process sees, and what is usual for their kinds."""
+    """Tracks the programs that one process serves, and the typical shapes of their kinds."""
 
     def __init__(self, first_guess: Shape) -> None:
-        """Makes shapes.
+        """Starts without any program.
 
         Args:
-          first_guess: Of a kind before any program of it was seen to its end.
+          first_guess: Shape of a kind before any program of it has ended.
         """
         self._first_guess = first_guess
         self._programs: dict[str, _Running] = {}
-        # How many programs are how far: there are few kinds and lengths, and many programs.
+        # Number of programs by kind and calls made: there are few kinds and lengths, and many
+        # programs.
         self._counts: Counter[Progress] = Counter()
-        self._usual: dict[ProgramKind, Shape] = {}
+        self._typical: dict[ProgramKind, Shape] = {}
 
-    def note(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
-        """Takes in a call of a program."""
+    def record_call(self, program_id: str, kind: ProgramKind, now_ms: int) -> None:
+        """Records a call of a program."""
         known = self._programs.pop(program_id, None)
         if known is None:
             while len(self._programs) >= MAX_PROGRAMS:
@@ -88,31 +90,34 @@
             self._uncount(known.progress)
         progress = known.progress._replace(calls=known.progress.calls + 1)
         self._counts[progress] += 1
-        self._programs[program_id] = known._replace(progress=progress, asked_ms=now_ms)
+        self._programs[program_id] = known._replace(progress=progress, last_call_ms=now_ms)
 
-    def is_under_way(self, program_id: str, now_ms: int) -> bool:
-        """Whether a program has begun and is not over."""
+    def is_in_progress(self, program_id: str, now_ms: int) -> bool:
+        """Whether a program has begun and has not ended."""
         program = self._programs.get(program_id)
-        return program is not None and now_ms - program.asked_ms < IDLE_MS
+        return program is not None and now_ms - program.last_call_ms < IDLE_MS
 
-    def under_way(self, now_ms: int) -> Iterator[tuple[Progress, int]]:
-        """Yields how many programs under way are how far; learns from those that are over."""
+    def in_progress(self, now_ms: int) -> Iterator[tuple[Progress, int]]:
+        """Yields the number of programs in progress by kind and calls made.
+
+        Learns from those that have ended.
+        """
         self.learn(now_ms)
         yield from self._counts.items()
 
     def learn(self, now_ms: int) -> None:
-        """Forgets programs that are over, and learns from them."""
-        # The longest quiet ones stand first.
+        """Learns from the programs that have ended, and drops them."""
+        # The programs are ordered by the time of their last call, the oldest first.
         while self._programs:
             program_id, program = next(iter(self._programs.items()))
-            if now_ms - program.asked_ms < IDLE_MS:
+            if now_ms - program.last_call_ms < IDLE_MS:
                 return
             self._drop(program_id)
             self._learn_from(program)
 
-    def usual(self, kind: ProgramKind) -> Shape:
-        """Returns what is usual for a kind."""
-        return self._usual.get(kind) or self._first_guess
+    def typical_shape(self, kind: ProgramKind) -> Shape:
+        """Returns the typical shape of a kind of program."""
+        return self._typical.get(kind) or self._first_guess
 
     def _drop(self, program_id: str) -> None:
         self._uncount(self._programs.pop(program_id).progress)
@@ -124,11 +129,11 @@
 
     def _learn_from(self, program: _Running) -> None:
         kind, calls = program.progress
-        usual = self.usual(kind)
-        took_ms = program.asked_ms - program.began_ms
-        while len(self._usual) >= MAX_KINDS and kind not in self._usual:
-            del self._usual[next(iter(self._usual))]
-        self._usual[kind] = Shape(
-            calls=usual.calls + NEWEST_WEIGHT * (calls - usual.calls),
-            took_ms=usual.took_ms + NEWEST_WEIGHT * (took_ms - usual.took_ms),
+        typical = self.typical_shape(kind)
+        took_ms = program.last_call_ms - program.began_ms
+        while len(self._typical) >= MAX_KINDS and kind not in self._typical:
+            del self._typical[next(iter(self._typical))]
+        self._typical[kind] = Shape(
+            calls=typical.calls + NEWEST_WEIGHT * (calls - typical.calls),
+            duration_ms=typical.duration_ms + NEWEST_WEIGHT * (took_ms - typical.duration_ms),
         )
--- a/src/quincespool/policy/protocol.py
+++ b/src/quincespool/policy/protocol.py
@@ -1,4 +1,4 @@
-"""What a policy decides, and what it may know when it does."""
+"""The interface of scheduling policies: their decisions and the data on which they decide."""
 
 from __future__ import annotations
 
@@ -12,17 +12,21 @@
     """One backend server as the owner of a program sees it.
 
     Attributes:
-      name: Without `backend/`.
+      name: Name without the prefix `backend/`.
       zone: Availability zone.
       slots: How many calls it runs at once.
-      running: Calls on it, by its keeper's last summary, plus what this owner has sent since.
-      waiting: Calls in its keeper's queue, likewise.
-      waiting_tokens: Sum of prompt and generation tokens that wait or run, likewise.
-      reported_running: The backend server's own report, which lags; -1 for none.
+      running: Calls that run on it: those in its keeper's last summary, plus the calls that this
+        owner has sent since.
+      waiting: Calls in its keeper's queue, counted in the same way.
+      waiting_tokens: Prompt and generation tokens of the calls that wait or run, counted in the
+        same way.
+      reported_running: Running calls by the backend server's own report, which lags; -1 if there is
+        none.
       summary_age_ms: Age of the keeper's summary; -1 if there is none.
       cached_tokens: Tokens of this program's prefix believed to be cached there.
-      load_ms: Until the weights of the call's model are in place there; 0 if they are.
-      live_tokens: Prefixes of the live programs that ran there last, cached or not; 0 if unknown.
+      load_ms: Time until the weights of the call's model are loaded there; 0 if they are.
+      live_tokens: Prefix tokens of the live programs that ran there last, cached or not; 0 if
+        unknown.
       capacity_tokens: The most KV cache it can hold; 0 if unknown.
     """
 
@@ -44,16 +48,16 @@
     """One call together with what is known of its whole program.
 
     Attributes:
-      program_id: Program or sub-agent.
-      call_number: 1, 2, 3, ...
-      prompt_tokens: Estimate.
-      max_tokens: The most it may generate.
-      attained_ms: Backend time that the whole program (root with sub-agents) has had.
-      program_age_ms: Since the root program opened.
-      deadline_left_ms: Until the root program's deadline.
-      priority: Of the class entry, 0 (first) to 9.
-      sub_agent: Whether a parent waits for it.
-      exported_tokens: Tokens of its prefix that lie exported and can be imported by any engine.
+      program_id: Id of the program or sub-agent.
+      call_number: Number of the call within the program: 1, 2, 3, ...
+      prompt_tokens: Estimated length of the prompt.
+      max_tokens: The most tokens that it may generate.
+      attained_ms: Backend time that the whole program (root with sub-agents) has used.
+      program_age_ms: Time since the root program opened.
+      deadline_left_ms: Time until the root program's deadline.
+      priority: Priority of the class entry, from 0 (first) to 9.
+      sub_agent: Whether the program is a sub-agent, for which a parent waits.
+      exported_tokens: Tokens of its prefix that have been exported and that any engine can import.
     """
 
     program_id: str
@@ -69,7 +73,7 @@
 
 
 class Admission(NamedTuple):
-    """Whether a call is taken; `retry_after_ms` says when to come back if it is not."""
+    """Whether a call is admitted; if it is not, the caller may retry after `retry_after_ms`."""
 
     admitted: bool
     retry_after_ms: int = 0
@@ -86,9 +90,9 @@
     """A program that waits for a tool or for its sub-agents.
 
     Attributes:
-      tool: Name of the service, or any other stable label of what is waited for.
-      cached_tokens: Its prefix, as cached on `backend`.
-      backend: Where it ran last.
+      tool: Name of the service, or another stable label of what the program waits for.
+      cached_tokens: Tokens of its prefix that are cached on `backend`.
+      backend: The backend server on which it ran last.
       can_export: Whether that backend server exports KV cache.
     """
 
@@ -99,13 +103,13 @@
 
 
 class CallOutcome(NamedTuple):
-    """What a finished call took, as its keeper saw it.
+    """Times and tokens of a finished call, as measured by its keeper.
 
     Attributes:
       computed_tokens: Prompt tokens that were not found in the cache.
       completion_tokens: Tokens generated.
-      first_token_ms: From start on the backend server to the first token.
-      service_ms: From start on the backend server to the end.
+      first_token_ms: Time from the start on the backend server to the first token.
+      service_ms: Time from the start on the backend server to the end.
     """
 
     computed_tokens: int
@@ -115,37 +119,37 @@
 
 
 class Policy(Protocol):
-    """Chooses backend servers and the order at each. Has no say in any promise."""
+    """Chooses backend servers and the order of calls at each; no guarantee depends on it."""
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
         """Returns the name of one of `backends`, which is not empty."""
 
     def rank(self, call: CallView, *, now_ms: int = 0, backend: BackendView | None = None) -> int:
-        """Returns the place in a keeper's queue; lower runs first, equals in order of arrival.
+        """Returns the rank in a keeper's queue; lower runs first, equal ones in order of arrival.
 
-        With `now_ms` the rank is a point in time, so that what waits grows older against what
-        comes later; without it, ranks compare only calls that arrive close together. `backend` is
-        the chosen one.
+        With `now_ms` the rank is a point in time, so that waiting calls move ahead of those that
+        arrive later; without it, ranks are comparable only among calls that arrive close together.
+        `backend` is the chosen one.
         """
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
-        """Decides whether the call can still finish in time, or is refused at once."""
+        """Admits the call, or refuses it at once if it is not expected to finish in time."""
 
 
 @runtime_checkable
 class Learner(Protocol):
-    """A policy that learns from what it is told; without that it works with its first guesses."""
+    """A policy that learns from observations; without them it uses its initial guesses."""
 
     def observe_call(self, outcome: CallOutcome) -> None:
-        """Takes note of a finished call."""
+        """Records a finished call."""
 
     def observe_pause(self, tool: str, pause_ms: int) -> None:
-        """Takes note of how long a program paused for a tool."""
+        """Records how long a program paused for a tool."""
 
 
 @runtime_checkable
 class CachePlanner(Protocol):
-    """A policy that also says what becomes of the KV cache of a pausing program."""
+    """A policy that also decides what to do with the KV cache of a program that pauses."""
 
     def plan_pause(self, pause: PauseView) -> CacheAction:
-        """Decides at the start of a pause."""
+        """Returns what to do with the cache; called at the start of a pause."""
--- a/src/quincespool/policy/queue_bound.py
+++ b/src/quincespool/policy/queue_bound.py
@@ -1,4 +1,4 @@
-"""Admission of the policies that look at single calls: a bound on the queues."""
+"""Admission for the policies that treat calls separately: a limit on the length of the queues."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def admit_by_queue(call: CallView, backends: list[BackendView]) -> Admission:
-    """Refuses a call only if each queue holds `MAX_WAITING_PER_SLOT` calls a slot."""
+    """Refuses a call only if every queue holds at least `MAX_WAITING_PER_SLOT` calls per slot."""
     if any(b.waiting < MAX_WAITING_PER_SLOT * b.slots for b in backends):
         return Admission(admitted=True)
     jitter_ms = stable_hash(f"{call.program_id}|{call.call_number}") % RETRY_AFTER_MS
--- a/src/quincespool/policy/registry.py
+++ b/src/quincespool/policy/registry.py
@@ -1,4 +1,4 @@
-"""The policies by the names that a class entry of the catalogue may give."""
+"""Makes policies by the names that a class entry of the catalogue may use."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class UnknownPolicyError(ValueError):
-    """A class entry names a policy that does not exist; the text lists those that do."""
+    """A class entry names a policy that does not exist; the message lists the known ones."""
 
 
 class PolicyWeights(NamedTuple):
-    """What a deployment cares for; only the ratio of the two counts."""
+    """Weights of latency and cache reuse for a deployment; only their ratio matters."""
 
     latency_weight: float
     cache_weight: float
 
 
 LATENCY_FIRST = PolicyWeights(latency_weight=1.0, cache_weight=0.5)
-"""Where a late answer is the greater harm."""
+"""For deployments in which late answers cost more than computing prefixes again."""
 
 CACHE_FIRST = PolicyWeights(latency_weight=0.5, cache_weight=1.0)
-"""Where few engines serve long sessions."""
+"""For deployments in which few engines serve long sessions."""
 
 
 def make_policy(
@@ -42,10 +42,10 @@
     cache_weight: float = LATENCY_FIRST.cache_weight,
     seed: int = 0,
 ) -> Policy:
-    """Makes the policy called `name`, with a state of its own.
+    """Returns a new instance of the policy called `name`.
 
     The weights matter to `program_aware` alone; `seed` sets where round robin starts and how ties
-    are broken, so that daemons with different seeds do not all favour the same backend server.
+    are broken, so that daemons with different seeds do not all prefer the same backend server.
 
     Raises:
       UnknownPolicyError: if there is no such policy.
--- a/src/quincespool/policy/round_robin.py
+++ b/src/quincespool/policy/round_robin.py
@@ -1,4 +1,4 @@
-"""Round robin: each backend server in turn, each call in order of arrival."""
+"""Round robin: uses the backend servers one after the other; calls run in order of arrival."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RoundRobin:
-    """Goes through the backend servers by name, starting at a place given by the seed."""
+    """Cycles through the backend servers, starting at a position given by the seed."""
 
     def __init__(self, *, seed: int) -> None:
-        self._turn = seed
+        self._position = seed
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the next one; a list that shrinks or grows only shifts the turn."""
-        self._turn += 1
-        return backends[self._turn % len(backends)].name
+        """Returns the next one; a list that shrinks or grows only shifts the position."""
+        self._position += 1
+        return backends[self._position % len(backends)].name
 
     def rank(self, call: CallView, *, now_ms: int = 0, backend: BackendView | None = None) -> int:
-        """Returns the same for all: order of arrival."""
+        """Returns the same rank for all calls, so that they run in order of arrival."""
         return 0
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
-        """Refuses when all queues are full."""
+        """Refuses the call if all queues are full."""
         return admit_by_queue(call, backends)
--- a/src/quincespool/policy/service_times.py
+++ b/src/quincespool/policy/service_times.py
@@ -1,8 +1,8 @@
-"""How long answers usually take, and which ones take far longer.
+"""Measures how long answers usually take, and which ones take far longer.
 
-Answers backend servers that turn slow or fill up while others of their service don't. How long
-answers take differs by service and by load, so nothing here is a fixed time: a burst that slows all
-of a service raises what is usual there.
+Detects backend servers that become slow or fill up while others of their service don't. How long
+answers take differs by service and by load, so the limits are not fixed times: a burst that slows
+all backend servers of a service raises the usual time of that service.
 """
 
 from __future__ import annotations
@@ -11,53 +11,55 @@
 
 from quincespool.policy.answer_times import AnswerTimes
 
-# Deviations beyond the mean. Work that differs by a factor of four from call to call stays below.
+# An answer is overdue this many deviations beyond the mean. Calls whose work differs by a factor of
+# four stay below.
 OVERDUE_DEVIATIONS = 8
-# Fewer answers of a service say too little of what is usual there.
-LEAST_SAMPLES = 8
-# Pauses of the event loop and of the network reach some tens of milliseconds.
-LEAST_OVERDUE_MS = 100.0
+# With fewer answers of a service its usual time is too uncertain to call an answer overdue.
+MIN_SAMPLES = 8
+# No answer is overdue earlier: pauses of the event loop and of the network reach some tens of
+# milliseconds.
+MIN_OVERDUE_MS = 100.0
 # Weight of the newest answer of a backend server: about the last five count.
 NEWEST_WEIGHT = 0.2
-# What was seen of one backend server is worth half after this long. Without it, one that was slow
-# once gets no call that would show that it is no longer; bursts last some seconds.
+# The measured latency of a backend server counts half after this long. Otherwise one that was slow
+# once would get no call that could show that it has recovered; bursts last some seconds.
 HALF_LIFE_MS = 4_000
 
 
 class ServiceTimes:
-    """Times of each service, over all of its backend servers."""
+    """Answer times of each service, over all of its backend servers."""
 
     def __init__(self) -> None:
-        self._begins: dict[str, AnswerTimes] = {}
-        self._wholes: dict[str, AnswerTimes] = {}
+        self._first_bytes: dict[str, AnswerTimes] = {}
+        self._totals: dict[str, AnswerTimes] = {}
         self._samples: dict[str, int] = {}
 
-    def observe_begin(self, service: str, took_ms: float) -> None:
-        """Takes in how long an answer took to begin."""
-        _observe(self._begins, service, took_ms)
+    def observe_first_byte(self, service: str, took_ms: float) -> None:
+        """Records the time to the first byte of an answer."""
+        _observe(self._first_bytes, service, took_ms)
         self._samples[service] = self._samples.get(service, 0) + 1
 
-    def observe_whole(self, service: str, took_ms: float) -> None:
-        """Takes in how long an answer took to its end."""
-        _observe(self._wholes, service, took_ms)
+    def observe_total(self, service: str, took_ms: float) -> None:
+        """Records the time to the end of an answer."""
+        _observe(self._totals, service, took_ms)
 
-    def begin_ms(self, service: str) -> float:
-        """Returns how long answers usually take to begin; 0 if none was seen."""
-        times = self._begins.get(service)
+    def first_byte_ms(self, service: str) -> float:
+        """Returns the mean time to the first byte of an answer; 0 before the first answer."""
+        times = self._first_bytes.get(service)
         return times.mean_ms if times is not None else 0.0
 
-    def whole_ms(self, service: str) -> float:
-        """Returns how long answers usually take to their end; 0 if none was seen."""
-        times = self._wholes.get(service)
+    def total_ms(self, service: str) -> float:
+        """Returns the mean time to the end of an answer; 0 before the first answer."""
+        times = self._totals.get(service)
         return times.mean_ms if times is not None else 0.0
 
     def overdue_ms(self, service: str) -> float | None:
-        """Returns after how long an answer that has not begun is overdue, None if not known yet."""
-        if self._samples.get(service, 0) < LEAST_SAMPLES:
+        """Returns after how long a missing first byte is overdue; None if it is not known yet."""
+        if self._samples.get(service, 0) < MIN_SAMPLES:
             return None
-        times = self._begins[service]
+        times = self._first_bytes[service]
         limit_ms = times.mean_ms + OVERDUE_DEVIATIONS * times.deviation_ms
-        return max(LEAST_OVERDUE_MS, limit_ms)
+        return max(MIN_OVERDUE_MS, limit_ms)
 
 
 def _observe(all_times: dict[str, AnswerTimes], service: str, took_ms: float) -> None:
@@ -73,25 +75,25 @@
 
 
 class BackendLatencies:
-    """How long answers of each backend server took to begin, as one daemon has seen."""
+    """Time to the first byte of answers of each backend server, as measured by one daemon."""
 
     def __init__(self) -> None:
         self._latencies: dict[str, _Latency] = {}
 
     def observe(self, backend_id: str, took_ms: float, now_ms: int) -> None:
-        """Takes in how long an answer took to begin."""
+        """Records the time to the first byte of an answer."""
         known = self._latencies.get(backend_id)
         mean_ms = known.mean_ms if known is not None else took_ms
         mean_ms += NEWEST_WEIGHT * (took_ms - mean_ms)
         self._latencies[backend_id] = _Latency(mean_ms, now_ms)
 
     def mean_ms(self, backend_id: str) -> float:
-        """Returns the moving average; 0 if none was seen."""
+        """Returns the moving average; 0 before the first answer."""
         known = self._latencies.get(backend_id)
         return known.mean_ms if known is not None else 0.0
 
     def excess_ms(self, backend_id: str, usual_ms: float, now_ms: int) -> float:
-        """Returns by how much it lies beyond what is usual, less the older it is."""
+        """Returns by how much the average exceeds the usual time, reduced with its age."""
         known = self._latencies.get(backend_id)
         if known is None:
             return 0.0
@@ -100,5 +102,5 @@
         return (known.mean_ms - usual_ms) * faded
 
     def forget(self, backend_id: str) -> None:
-        """Drops what is known of a backend server that is gone."""
+        """Drops the average of a backend server that has left."""
         self._latencies.pop(backend_id, None)
--- a/src/quincespool/policy/silence.py
+++ b/src/quincespool/policy/silence.py
@@ -1,9 +1,10 @@
-"""When a peer that has fallen silent is taken to be gone.
+"""Detects failed peers and backend servers by their silence.
 
-Answers hosts that lose their power, freeze or are cut off while they own programs: nobody closes
-their connections, and their leases run on. Taken for gone too early, a host that merely stalls
-loses its work; too late, programs miss their objective, which leaves most of them about a second.
-So a peer is asked before it is judged: one that lives answers within milliseconds.
+Detects hosts that lose power, freeze or are cut off from the network while they own programs:
+nobody closes their connections, and their leases remain valid until they expire. If a host that
+merely stalls is declared failed too early, it loses its work; if a failed one is detected too late,
+its programs miss their objective, which leaves most of them about a second. A silent peer is
+therefore probed before it is declared failed: one that runs answers within milliseconds.
 """
 
 from __future__ import annotations
@@ -14,94 +15,102 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Between two heartbeats. Shorter ones would cost a host of the largest plan more than its 7 KB/s.
-BEAT_MS = 200
-# Two heartbeats missed: one is lost now and then.
-ASK_MS = 500
-# An answer takes a few milliseconds; a process that is short of its processor's time gets it within
-# the tenth of a second for which that is dealt out.
-ANSWER_MS = 150
-# From the last heartbeat on; with a host's lease of a second, whose programs would otherwise wait
-# 0.83 s for its end on average.
-SILENCE_MS = ASK_MS + ANSWER_MS + 50
+# Time between two heartbeats, which take 7 KB/s of a host in the largest planned cluster; with a
+# shorter one they would take more.
+HEARTBEAT_INTERVAL_MS = 200
+# A peer is probed after two missed heartbeats, since a single one is lost now and then.
+PROBE_AFTER_MS = 500
+# An answer to a probe takes a few milliseconds; a process whose CPU quota is used up runs again
+# within the tenth of a second that a quota period lasts.
+PROBE_TIMEOUT_MS = 150
+# Silence after which a peer is declared failed, counted from its last heartbeat. A host's lease is
+# one second; programs of a failed host would otherwise wait 0.83 s on average for its end.
+PEER_TIMEOUT_MS = PROBE_AFTER_MS + PROBE_TIMEOUT_MS + 50
 
 
-class SilenceVerdict(NamedTuple):
+class PeerCheck(NamedTuple):
     """What to do about silent peers.
 
     Attributes:
-      ask: To be asked whether they live.
-      gone: Taken to be gone, each one told once.
+      to_probe: Peers to be probed now.
+      failed: Peers that are declared failed now; each one is listed once for each silence.
     """
 
-    ask: list[str]
-    gone: list[str]
+    to_probe: list[str]
+    failed: list[str]
 
 
-class SilenceWatch:
-    """Judges the peers that this process watches."""
+class FailureDetector:
+    """Declares peers failed that neither send heartbeats nor answer a probe."""
 
     def __init__(self) -> None:
-        self._asked_ms: dict[str, int] = {}
-        self._gone: set[str] = set()
+        self._probed_ms: dict[str, int] = {}
+        self._failed: set[str] = set()
 
-    def check(self, heard_ms: Mapping[str, int], now_ms: int) -> SilenceVerdict:
-        """Returns whom to ask and who is gone.
+    def check(self, received_ms: Mapping[str, int], now_ms: int) -> PeerCheck:
+        """Returns which peers to probe and which have failed.
 
-        A process that was itself stopped for a while finds everybody silent; as it asks first, it
-        reads what has come meanwhile before it judges.
+        To a process that was itself stopped for a while, all peers look silent. As it probes them
+        first, it reads the messages that arrived meanwhile before it declares anyone failed.
 
         Args:
-          heard_ms: When each watched peer was last heard, by the same clock.
+          received_ms: When the last message of each watched peer was received, by the same clock.
           now_ms: Steady clock.
         """
-        verdict = SilenceVerdict([], [])
-        silent = {peer for peer, last_ms in heard_ms.items() if now_ms - last_ms >= ASK_MS}
-        self._gone &= silent
-        self._asked_ms = {peer: at_ms for peer, at_ms in self._asked_ms.items() if peer in silent}
-        for peer in sorted(silent - self._gone):
-            asked_ms = self._asked_ms.get(peer)
-            if asked_ms is None:
-                self._asked_ms[peer] = now_ms
-                verdict.ask.append(peer)
-            elif now_ms - asked_ms >= ANSWER_MS and now_ms - heard_ms[peer] >= SILENCE_MS:
-                self._gone.add(peer)
-                verdict.gone.append(peer)
-        return verdict
-
-    def due_ms(self, heard_ms: Mapping[str, int], now_ms: int) -> int:
-        """Returns for how long `check` has nothing to say, if nothing more is heard; not negative.
-
-        Answers idle hosts: checked at a fixed pace, silence takes more wake-ups than all callers.
+        found = PeerCheck([], [])
+        silent = {
+            peer for peer, last_ms in received_ms.items() if now_ms - last_ms >= PROBE_AFTER_MS
+        }
+        self._failed &= silent
+        self._probed_ms = {peer: at_ms for peer, at_ms in self._probed_ms.items() if peer in silent}
+        for peer in sorted(silent - self._failed):
+            probed_ms = self._probed_ms.get(peer)
+            if probed_ms is None:
+                self._probed_ms[peer] = now_ms
+                found.to_probe.append(peer)
+            elif (
+                now_ms - probed_ms >= PROBE_TIMEOUT_MS
+                and now_ms - received_ms[peer] >= PEER_TIMEOUT_MS
+            ):
+                self._failed.add(peer)
+                found.failed.append(peer)
+        return found
+
+    def next_check_in_ms(self, received_ms: Mapping[str, int], now_ms: int) -> int:
+        """Returns for how long `check` returns nothing if no message arrives; not negative.
+
+        This saves wake-ups on idle hosts: checks at a fixed interval would cause more of them than
+        all callers do.
 
         Args:
-          heard_ms: When each watched peer was last heard, by the same clock.
+          received_ms: When the last message of each watched peer was received, by the same clock.
           now_ms: Steady clock.
         """
-        last_ms = [at_ms for peer, at_ms in heard_ms.items() if peer not in self._gone]
-        return max(0, min(last_ms, default=now_ms) + ASK_MS - now_ms)
+        last_ms = [at_ms for peer, at_ms in received_ms.items() if peer not in self._failed]
+        return max(0, min(last_ms, default=now_ms) + PROBE_AFTER_MS - now_ms)
 
 
-# Events of a stream come every few tens of milliseconds, and an engine's streams don't all pause at
-# once; a whole answer takes about as long as the last ones.
-QUIET_MS = 250
-QUIET_LATENCIES = 3
+# A backend server is suspected after a silence of BACKEND_SILENCE_MS plus BACKEND_SILENCE_LATENCIES
+# times its latency. Events of a stream come every few tens of milliseconds, and the streams of an
+# engine don't all pause at once; a complete answer takes about as long as the last ones.
+BACKEND_SILENCE_MS = 250
+BACKEND_SILENCE_LATENCIES = 3
 
 
-def is_quiet_too_long(silent_ms: float, latency_ms: float) -> bool:
-    """Whether a backend server that owes answers has said nothing for so long that it may be gone.
+def is_silent_too_long(silent_ms: float, latency_ms: float) -> bool:
+    """Whether a backend server with calls in flight has been silent so long that it may be down.
 
-    Answers engines that lose their power: their connections stay open, and callers leave a stream
-    only after two seconds without an event, longer than most programs can spare. A new connection
-    tells whether the host lives, so a wrong suspicion costs just that.
+    Detects engines that lose power: their connections stay open, and callers give up a stream only
+    after two seconds without an event, longer than most programs can spare. A new connection shows
+    whether the host is up, so a wrong suspicion costs no more than that connection.
 
     Args:
-      silent_ms: Since anything came on any of its connections.
-      latency_ms: Its usual time to an answer's first byte, 0 if that is not known.
+      silent_ms: Time since any data arrived on any of its connections.
+      latency_ms: Its usual time to the first byte of an answer; 0 if that is not known.
     """
-    return quiet_due_ms(silent_ms, latency_ms) <= 0
+    return remaining_silence_ms(silent_ms, latency_ms) <= 0
 
 
-def quiet_due_ms(silent_ms: float, latency_ms: float) -> float:
-    """Returns for how much longer a backend server may say nothing; see `is_quiet_too_long`."""
-    return QUIET_MS + QUIET_LATENCIES * max(0.0, latency_ms) - silent_ms
+def remaining_silence_ms(silent_ms: float, latency_ms: float) -> float:
+    """Returns how much longer a backend server may be silent; see `is_silent_too_long`."""
+    return BACKEND_SILENCE_MS + BACKEND_SILENCE_LATENCIES * max(0.0, latency_ms) - silent_ms
--- a/tests/gateway/backends/test_reports.py
+++ b/tests/gateway/backends/test_reports.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quincespool.policy.recent_reports import MOST_OF_ONE_DAEMON
+from quincespool.policy.recent_reports import MAX_REPORTS_PER_DAEMON
 from tests.gateway.gateway_cluster import GatewayCluster
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
         nodes = cluster.nodes
         entry = nodes["a"].daemon._backends.entries["e1"]
         for name in ("a", "b"):
-            for _ in range(MOST_OF_ONE_DAEMON):
+            for _ in range(MAX_REPORTS_PER_DAEMON):
                 nodes[name].daemon._backend_reports.report(entry, "lost")
         await asyncio.sleep(0.1)
 
--- a/tests/gateway/members/test_presence.py
+++ b/tests/gateway/members/test_presence.py
@@ -6,7 +6,7 @@
 
 from quincespool.gateway.clock import now_ms
 from quincespool.gateway.members.presence import ANNOUNCE_S
-from quincespool.policy.silence import ASK_MS
+from quincespool.policy.silence import PROBE_AFTER_MS
 from tests.gateway.gateway_cluster import GatewayCluster
 
 
@@ -38,6 +38,6 @@
         asker, asked = cluster.nodes["a"].daemon, cluster.nodes["b"].daemon
         asked._ticker.stop()
         for _ in range(3):
-            await asyncio.sleep(ASK_MS / 1000)
+            await asyncio.sleep(PROBE_AFTER_MS / 1000)
             assert asker._members.is_alive("b", now_ms())
             assert asked._ownership.owned
--- a/tests/gateway/members/test_table.py
+++ b/tests/gateway/members/test_table.py
@@ -12,9 +12,9 @@
 from quincespool.gateway.members.table import Members
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.store.interface import Partition
-from quincespool.policy.silence import ASK_MS
-from quincespool.policy.silence import BEAT_MS
-from quincespool.policy.silence import SILENCE_MS
+from quincespool.policy.silence import HEARTBEAT_INTERVAL_MS
+from quincespool.policy.silence import PEER_TIMEOUT_MS
+from quincespool.policy.silence import PROBE_AFTER_MS
 
 PARTITION = Partition("programs.0", 1)
 
@@ -42,8 +42,8 @@
     assert members.is_alive("a", ARRIVAL_GRACE_MS - 1)
     members.hear("a", _beat(), 10_000)
 
-    assert members.is_alive("a", 10_000 + SILENCE_MS - 1)
-    assert not members.is_alive("a", 10_000 + SILENCE_MS)
+    assert members.is_alive("a", 10_000 + PEER_TIMEOUT_MS - 1)
+    assert not members.is_alive("a", 10_000 + PEER_TIMEOUT_MS)
 
 
 def test_the_highest_epoch_owns() -> None:
@@ -120,7 +120,7 @@
 def test_a_small_group_hears_every_heartbeat() -> None:
     members = _large_group(BEAT_FANOUT + 1)["d0"]
     assert len(members.beat_targets()) == BEAT_FANOUT
-    assert members.round_ms == BEAT_MS
+    assert members.round_ms == HEARTBEAT_INTERVAL_MS
 
 
 def test_the_cost_of_heartbeats_does_not_grow_with_the_group() -> None:
@@ -129,7 +129,7 @@
     Cause: each one sent every heartbeat to each other one.
     """
     members = _large_group(78)["d0"]
-    rounds = [members.beat_targets() for _ in range(members.round_ms // BEAT_MS)]
+    rounds = [members.beat_targets() for _ in range(members.round_ms // HEARTBEAT_INTERVAL_MS)]
     assert {len(targets) for targets in rounds} == {BEAT_FANOUT}
     assert len({one.member_id for targets in rounds for one in targets}) == 77
 
@@ -143,7 +143,7 @@
     group = _large_group(40)
     for members in group.values():
         members.hear("d7", _beat(), 10_000)
-    asked_ms, silent_ms = 10_000 + ASK_MS, 10_000 + SILENCE_MS
+    asked_ms, silent_ms = 10_000 + PROBE_AFTER_MS, 10_000 + PEER_TIMEOUT_MS
     asking = [name for name, members in group.items() if members.judge_silence(asked_ms)[0]]
     told = {name: members.judge_silence(silent_ms)[1] for name, members in group.items()}
     watchers = [name for name, gone in told.items() if gone == [_daemon("d7", 1)]]
@@ -164,17 +164,17 @@
     """
     members = _large_group(40)["d0"]
     members.hear("d7", _beat(incarnation=2), 10_000)
-    assert not members.hear_silence("d7", 1, 10_000 + SILENCE_MS)
-    assert not members.hear_silence("d7", 2, 10_000 + ASK_MS - 1)
-    assert members.is_alive("d7", 10_000 + SILENCE_MS)
+    assert not members.hear_silence("d7", 1, 10_000 + PEER_TIMEOUT_MS)
+    assert not members.hear_silence("d7", 2, 10_000 + PROBE_AFTER_MS - 1)
+    assert members.is_alive("d7", 10_000 + PEER_TIMEOUT_MS)
 
 
 def test_a_daemon_of_a_large_group_that_hears_nobody_is_isolated_within_a_second() -> None:
     members = _large_group(40)["d0"]
     for number in range(1, 40):
         members.hear(f"d{number}", _beat(), 10_000)
-    assert not members.is_isolated(10_000 + SILENCE_MS - 1)
-    assert members.is_isolated(10_000 + SILENCE_MS)
+    assert not members.is_isolated(10_000 + PEER_TIMEOUT_MS - 1)
+    assert members.is_isolated(10_000 + PEER_TIMEOUT_MS)
 
 
 def test_an_owner_is_the_one_that_claims_a_partition_last() -> None:
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -1,4 +1,4 @@
-"""Views of calls and backend servers, to be varied by each test."""
+"""Default views of calls and backend servers, which each test varies."""
 
 from __future__ import annotations
 
--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -17,17 +17,18 @@
     from collections.abc import Callable
 
 SERVICE = "model"
-# A call takes a quarter of a second on average and begins after a sixth of that, if it need not
-# wait.
+# A call takes a quarter of a second on average, and its answer begins after a sixth of that, if it
+# need not wait.
 BEGIN_MS = 40.0
 MEAN_MS = 251.0
 
 
 class Load(NamedTuple):
-    """What is to be served.
+    """The load and the engines of one run.
 
     Attributes:
-      told_every_ms: How often daemons tell one another their calls under way; 0 if they don't.
+      reported_every_ms: Interval at which daemons report their calls in flight to one another; 0 if
+        they don't.
       slow: Engines that are slower by `slowness`.
     """
 
@@ -37,13 +38,13 @@
     slots: int = 6
     zones: int = 6
     seconds: int = 20
-    told_every_ms: int = 0
+    reported_every_ms: int = 0
     slow: frozenset[int] = frozenset()
     slowness: float = 4.5
 
 
 class Outcome(NamedTuple):
-    """How long calls waited or were held up by slowness."""
+    """How long calls waited or were delayed by slow engines."""
 
     mean_ms: float
     late_share: float
@@ -53,7 +54,7 @@
     def __init__(self, zone: int, engines: int) -> None:
         self.zone = zone
         self.in_flight = [0] * engines
-        self.told = [0] * engines
+        self.reported = [0] * engines
         self.latencies = BackendLatencies()
         self.times = ServiceTimes()
 
@@ -75,15 +76,15 @@
         self._delays_ms: list[float] = []
 
     def run(self) -> Outcome:
-        """Plays the whole load."""
+        """Runs the complete load."""
         at_ms, end_ms = 0.0, self._load.seconds * 1_000
         while at_ms < end_ms:
             at_ms += self._rng.expovariate(self._load.calls_per_s / 1_000)
             owner = self._rng.choice(self._owners)
             self._at(at_ms, lambda owner=owner: self._send(owner))  # type: ignore[misc]
-        if self._load.told_every_ms:
+        if self._load.reported_every_ms:
             for owner in self._owners:
-                self._tell_from(owner, self._rng.random() * self._load.told_every_ms, end_ms)
+                self._report_from(owner, self._rng.random() * self._load.reported_every_ms, end_ms)
         while self._events:
             self._now_ms, _, call = heapq.heappop(self._events)
             call()
@@ -94,11 +95,11 @@
         self._number += 1
         heapq.heappush(self._events, (at_ms, self._number, call))
 
-    def _tell_from(self, owner: _Owner, first_ms: float, end_ms: float) -> None:
+    def _report_from(self, owner: _Owner, first_ms: float, end_ms: float) -> None:
         at_ms = first_ms
         while at_ms < end_ms:
-            self._at(at_ms, lambda: owner.told.__setitem__(slice(None), owner.in_flight))
-            at_ms += self._load.told_every_ms
+            self._at(at_ms, lambda: owner.reported.__setitem__(slice(None), owner.in_flight))
+            at_ms += self._load.reported_every_ms
 
     def _send(self, owner: _Owner) -> None:
         engine = self._choose(owner)
@@ -109,26 +110,28 @@
             self._queues[engine].append((owner, self._now_ms))
 
     def _choose(self, owner: _Owner) -> int:
-        told = [0] * self._load.engines
-        if self._load.told_every_ms:
+        reported = [0] * self._load.engines
+        if self._load.reported_every_ms:
             others = [one for one in self._owners if one is not owner]
-            told = [sum(column) for column in zip(*(one.told for one in others), strict=True)]
-        usual_ms = owner.times.begin_ms(SERVICE)
-        whole_ms = max(1.0, owner.times.whole_ms(SERVICE))
+            reported = [
+                sum(column) for column in zip(*(one.reported for one in others), strict=True)
+            ]
+        usual_ms = owner.times.first_byte_ms(SERVICE)
+        whole_ms = max(1.0, owner.times.total_ms(SERVICE))
         now_ms = int(self._now_ms)
         candidates = [
             Candidate(
                 backend_id=str(engine),
-                busy=(owner.in_flight[engine] + told[engine]) / self._load.slots,
-                is_near=engine % self._load.zones == owner.zone,
+                busy=(owner.in_flight[engine] + reported[engine]) / self._load.slots,
+                is_in_same_zone=engine % self._load.zones == owner.zone,
                 is_cold=False,
-                is_connected=True,
+                has_idle_connection=True,
                 lateness=owner.latencies.excess_ms(str(engine), usual_ms, now_ms) / whole_ms,
             )
             for engine in range(self._load.engines)
         ]
-        if self._load.told_every_ms:
-            # Daemons that tell one another their loads go by these.
+        if self._load.reported_every_ms:
+            # Daemons that report their loads to one another decide by these instead of latency.
             candidates = [one._replace(lateness=0.0) for one in candidates]
         return int(place(candidates, preferred_id="", rng=self._rng))
 
@@ -145,11 +148,11 @@
     def _begin(self, owner: _Owner, engine: int, sent_ms: float) -> None:
         took_ms = self._now_ms - sent_ms
         owner.latencies.observe(str(engine), took_ms, int(self._now_ms))
-        owner.times.observe_begin(SERVICE, took_ms)
+        owner.times.observe_first_byte(SERVICE, took_ms)
 
     def _end(self, owner: _Owner, engine: int, sent_ms: float) -> None:
         owner.in_flight[engine] -= 1
-        owner.times.observe_whole(SERVICE, self._now_ms - sent_ms)
+        owner.times.observe_total(SERVICE, self._now_ms - sent_ms)
         self._running[engine] -= 1
         if self._queues[engine]:
             waiting, since_ms = self._queues[engine].popleft()
--- a/tests/policy/program_fleet.py
+++ b/tests/policy/program_fleet.py
@@ -1,4 +1,4 @@
-"""Programs of several turns before engines that take turns by rank, in virtual time."""
+"""Programs of several turns on engines that run turns in order of rank, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from quincespool.policy.admission import AdmissionControl
 from quincespool.policy.admission import NewProgram
-from quincespool.policy.engine_speeds import Answer
 from quincespool.policy.engine_speeds import EngineSpeeds
+from quincespool.policy.engine_speeds import SpeedSample
 from quincespool.policy.placement import Candidate
 from quincespool.policy.placement import place
 from quincespool.policy.program_shapes import ProgramKind
@@ -27,22 +27,22 @@
 OWNERS, ENGINES, SLOTS, QUEUE = 60, 24, 6, 18
 SPEEDS = (0.7, 0.7, 1.7)
 BEGIN_MS, TURN_MS, PAUSE_MS, EVENTS = 30.0, 190.0, 150.0, 4
-# Of what other owners learn of engines, one hears so much with their heartbeats.
-HEARD_SHARE = 0.1
+# Part of the other owners' speed samples that an owner receives with their heartbeats.
+RECEIVED_SHARE = 0.1
 MAX_REFUSALS, FULL_RETRY_MS = 3, 250.0
-# Each turn is tried so often; callers come back no later than after a third of their time.
-TRIES, TURN_LIMIT_MS = 6, 3_000.0
+# Number of attempts for each turn; callers retry after a third of their time limit at the latest.
+MAX_ATTEMPTS, TURN_LIMIT_MS = 6, 3_000.0
 SHORT, LONG = ProgramKind("short", Rank(0)), ProgramKind("long", Rank(2))
-# Programs like the short ones, of an account that sends many times its usual.
+# Programs like the short ones, of an account that sends many times its usual load.
 HOT = ProgramKind("hot", Rank(0))
 TURNS = {SHORT: 3, LONG: 8, HOT: 3}
-# A program has so many times what it takes on idle engines, and so much besides.
+# The time that a program has: FACTOR times its duration on idle engines plus EXTRA_MS.
 FACTOR = {SHORT: 1.4, LONG: 1.6, HOT: 1.4}
-BESIDES_MS = {SHORT: 250, LONG: 500, HOT: 250}
+EXTRA_MS = {SHORT: 250, LONG: 500, HOT: 250}
 
 
 class Burst(NamedTuple):
-    """More programs of one kind for some time."""
+    """A multiple of the usual rate of one kind of program, for a limited time."""
 
     kind: ProgramKind
     times: float
@@ -62,14 +62,14 @@
 
 
 class Outcome(NamedTuple):
-    """Programs by kind: asked for, ended in time, ended late."""
+    """Number of programs by kind: started, ended in time, ended late."""
 
     asked: Counter[ProgramKind]
     in_time: Counter[ProgramKind]
     late: Counter[ProgramKind]
 
     def share(self, kind: ProgramKind) -> float:
-        """Returns the part that ended in time."""
+        """Returns the part of the programs that ended in time."""
         return self.in_time[kind] / self.asked[kind]
 
 
@@ -84,7 +84,7 @@
         seed: int,
         controlled: bool,
         knows_speeds: bool = False,
-        pressed: ProgramKind | None = None,
+        near_limit: ProgramKind | None = None,
         seconds: int = 16,
     ) -> None:
         self._rng = random.Random(seed)
@@ -100,13 +100,13 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._number = 0
         self._now_ms = 0.0
-        self._pressed = pressed
+        self._near_limit = near_limit
         self._outcome = Outcome(Counter(), Counter(), Counter())
         for kind, rate_per_s in per_s.items():
             self._arrive(kind, rate_per_s, bursts, seconds * 1_000)
 
     def run(self) -> Outcome:
-        """Plays the whole load."""
+        """Runs the complete load."""
         while self._events:
             self._now_ms, _, call = heapq.heappop(self._events)
             call()
@@ -120,7 +120,7 @@
             times = [b.times for b in bursts if b.kind == kind and b.from_ms <= at_ms < b.until_ms]
             at_ms += self._rng.expovariate(rate_per_s * max(times, default=1.0) / 1_000)
             idle_ms = TURNS[kind] * (TURN_MS + PAUSE_MS)
-            until_ms = at_ms + FACTOR[kind] * idle_ms + BESIDES_MS[kind]
+            until_ms = at_ms + FACTOR[kind] * idle_ms + EXTRA_MS[kind]
             self._number += 1
             owner = self._rng.randrange(OWNERS)
             program = _Program(self._number, kind, owner, at_ms, until_ms)
@@ -138,13 +138,13 @@
             control.learn(now_ms)
             if not program.turns:
                 left_ms = int(program.until_ms - self._now_ms)
-                is_pressed = program.kind == self._pressed
-                wanted = NewProgram(SERVICE, program.kind, left_ms, is_pressed)
+                is_near_limit = program.kind == self._near_limit
+                wanted = NewProgram(SERVICE, program.kind, left_ms, is_near_limit)
                 rejection = control.reject(wanted, now_ms)
                 if rejection is not None:
-                    self._come_back(program, rejection.retry_after_ms)
+                    self._retry_later(program, rejection.retry_after_ms)
                     return
-            control.note_turn(str(program.number), program.kind, now_ms)
+            control.record_turn(str(program.number), program.kind, now_ms)
         tried: set[int] = set()
         while len(tried) < MAX_REFUSALS:
             engine = self._choose(program.owner, tried)
@@ -153,25 +153,25 @@
                 self._send(program, engine)
                 return
         if control is not None:
-            control.note_full(SERVICE, program.kind.rank, now_ms)
-        self._come_back(program, FULL_RETRY_MS)
+            control.record_full(SERVICE, program.kind.rank, now_ms)
+        self._retry_later(program, FULL_RETRY_MS)
 
-    def _come_back(self, program: _Program, after_ms: float) -> None:
+    def _retry_later(self, program: _Program, after_ms: float) -> None:
         program.tries += 1
-        if program.tries < TRIES:
+        if program.tries < MAX_ATTEMPTS:
             after_ms = min(after_ms, TURN_LIMIT_MS / 3)
             self._at(self._now_ms + after_ms, lambda: self._turn(program))
 
     def _choose(self, owner: int, tried: set[int]) -> int:
         times = self._times[owner]
-        usual_ms, whole_ms = times.begin_ms(SERVICE), max(1.0, times.whole_ms(SERVICE))
+        usual_ms, whole_ms = times.first_byte_ms(SERVICE), max(1.0, times.total_ms(SERVICE))
         candidates = [
             Candidate(
                 backend_id=str(engine),
                 busy=self._in_flight[owner][engine] / SLOTS,
-                is_near=engine % 3 == owner % 3,
+                is_in_same_zone=engine % 3 == owner % 3,
                 is_cold=False,
-                is_connected=True,
+                has_idle_connection=True,
                 lateness=self._latencies[owner].excess_ms(str(engine), usual_ms, int(self._now_ms))
                 / whole_ms,
                 slowness=self._slowness(owner, engine),
@@ -184,15 +184,15 @@
     def _slowness(self, owner: int, engine: int) -> float:
         return self._speeds[owner].slowness(SERVICE, str(engine)) if self._speeds else 1.0
 
-    def _tell_speed(self, owner: int, engine: int, event_ms: float) -> None:
+    def _report_speed(self, owner: int, engine: int, event_ms: float) -> None:
         assert self._speeds is not None
-        answer = Answer(str(engine), event_ms)
+        answer = SpeedSample(str(engine), event_ms)
         self._speeds[owner].observe(SERVICE, answer)
-        if self._speeds[owner].take_to_tell() is None:
+        if self._speeds[owner].take_reportable() is None:
             return
         for speeds in self._speeds:
-            if self._rng.random() < HEARD_SHARE:
-                speeds.hear(answer)
+            if self._rng.random() < RECEIVED_SHARE:
+                speeds.add_sample(answer)
 
     def _send(self, program: _Program, engine: int) -> None:
         self._in_flight[program.owner][engine] += 1
@@ -211,19 +211,19 @@
         self._at(self._now_ms + BEGIN_MS / speed, lambda: self._begin(program, engine, sent_ms))
         self._at(self._now_ms + took_ms, lambda: self._end(program, engine, sent_ms))
         if self._speeds is not None:
-            self._tell_speed(program.owner, engine, took_ms / EVENTS)
+            self._report_speed(program.owner, engine, took_ms / EVENTS)
 
     def _begin(self, program: _Program, engine: int, sent_ms: float) -> None:
         took_ms, now_ms = self._now_ms - sent_ms, int(self._now_ms)
         self._latencies[program.owner].observe(str(engine), took_ms, now_ms)
-        self._times[program.owner].observe_begin(SERVICE, took_ms)
+        self._times[program.owner].observe_first_byte(SERVICE, took_ms)
         if self._controls is not None:
             rank = program.kind.rank
-            self._controls[program.owner].note_begin(SERVICE, rank, took_ms, now_ms)
+            self._controls[program.owner].record_first_event(SERVICE, rank, took_ms, now_ms)
 
     def _end(self, program: _Program, engine: int, sent_ms: float) -> None:
         self._in_flight[program.owner][engine] -= 1
-        self._times[program.owner].observe_whole(SERVICE, self._now_ms - sent_ms)
+        self._times[program.owner].observe_total(SERVICE, self._now_ms - sent_ms)
         self._running[engine] -= 1
         if self._queues[engine]:
             heapq.heappop(self._queues[engine])[2]()
--- a/tests/policy/test_answer_times.py
+++ b/tests/policy/test_answer_times.py
@@ -1,4 +1,4 @@
-"""When a request to a store is sent once more."""
+"""When a request to a store is sent again."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from quincespool.policy.answer_times import LEAST_WAIT_MS
-from quincespool.policy.answer_times import MOST_WAIT_MS
+from quincespool.policy.answer_times import MAX_WAIT_MS
+from quincespool.policy.answer_times import MIN_WAIT_MS
 from quincespool.policy.answer_times import AnswerTimes
 
-FIXED_LIMIT_MS = 600.0
+FIXED_TIMEOUT_MS = 600.0
 
 
-def _durable_after_ms(
+def _answered_after_ms(
     times: AnswerTimes, rng: random.Random, *, answer_ms: float, lost_share: float
 ) -> float:
     """Returns when the first copy of a request is answered, in virtual time."""
@@ -34,28 +34,28 @@
 def _replay(*, answer_ms: float, lost_share: float, count: int = 2_000) -> list[float]:
     times, rng = AnswerTimes(), random.Random(1)
     waits = [
-        _durable_after_ms(times, rng, answer_ms=answer_ms, lost_share=lost_share)
+        _answered_after_ms(times, rng, answer_ms=answer_ms, lost_share=lost_share)
         for _ in range(count)
     ]
     return sorted(waits)
 
 
 def test_lost_answers_cost_a_few_answer_times() -> None:
-    """Symptom: the programs of a partition stand still for most of a second at a time.
+    """Symptom: the programs of a partition stall for most of a second at a time.
 
     Events: two in five answers of a store that answers in 5 ms are lost.
-    Cause: each lost answer was waited for until a fixed limit of 600 ms.
+    Cause: after each lost answer the request was sent again only after a fixed timeout of 600 ms.
     """
     waits = _replay(answer_ms=5.0, lost_share=0.4)
     assert waits[len(waits) // 2] <= 30.0
-    assert waits[int(0.95 * len(waits))] < FIXED_LIMIT_MS / 3
+    assert waits[int(0.95 * len(waits))] < FIXED_TIMEOUT_MS / 3
 
 
-def test_a_slow_store_is_not_sent_copies_once_its_time_is_known() -> None:
-    """Symptom: a store that has grown slow gets every request three times and grows slower.
+def test_a_slow_store_gets_no_copies_once_its_answer_time_is_known() -> None:
+    """Symptom: a store that has become slow gets every request three times and becomes slower.
 
-    Events: answers take 320 ms in place of 4.
-    Cause: a limit that does not follow the answer times.
+    Events: answers take 320 ms instead of 4 ms.
+    Cause: a timeout that does not follow the answer times.
     """
     times = AnswerTimes()
     for _ in range(50):
@@ -71,4 +71,4 @@
     times = AnswerTimes()
     for took_ms in answers_ms:
         times.observe(took_ms)
-    assert LEAST_WAIT_MS <= times.wait_ms(copies) <= MOST_WAIT_MS
+    assert MIN_WAIT_MS <= times.wait_ms(copies) <= MAX_WAIT_MS
--- a/tests/policy/test_baselines.py
+++ b/tests/policy/test_baselines.py
@@ -1,4 +1,4 @@
-"""The three policies that look at single calls, and the registry."""
+"""The three policies that treat calls separately, and the registry."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(("latency", "cache"), [(-1.0, 1.0), (1.0, -0.1), (0.0, 0.0)])
-def test_weights_that_mean_nothing_are_refused(latency: float, cache: float) -> None:
+def test_invalid_weights_are_refused(latency: float, cache: float) -> None:
     with pytest.raises(ValueError, match="weights"):
         make_policy("program_aware", latency_weight=latency, cache_weight=cache)
 
@@ -55,8 +55,8 @@
 ) -> None:
     """One backend server gets all calls until the next report.
 
-    Sequence: a report says that e0 is idle; ten calls come before the report changes. Cause: the
-    lagging report alone decides, and what was sent meanwhile is not counted.
+    Sequence: a report says that e0 is idle; ten calls arrive before the report changes. Cause: the
+    lagging report alone decides, and the calls sent meanwhile are not counted.
     """
     backends = [make_backend("e0", reported_running=0), make_backend("e1", reported_running=4)]
     policy = make_policy("least_loaded")
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("name", POLICY_NAMES[:3])
-def test_full_queues_refuse_with_a_time_to_come_back(
+def test_full_queues_refuse_with_a_retry_time(
     name: str, make_backend: MakeBackend, make_call: MakeCall
 ) -> None:
     policy = make_policy(name)
--- a/tests/policy/test_experiment.py
+++ b/tests/policy/test_experiment.py
@@ -1,4 +1,4 @@
-"""The comparison itself: a driver with a fault would make every figure worthless."""
+"""The experiment that compares policies: a faulty driver would invalidate every result."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert len(tally.finished_ms) >= 0.97 * len(floors)
 
 
-def test_release_at_end_is_what_frees_memory() -> None:
+def test_release_at_end_frees_memory() -> None:
     released = measure(ABAY, "prefix_affinity", load=0.5)
     held = measure(ABAY, "prefix_affinity", load=0.5, options=Options(release_at_end=False))
     assert held.held_token_s > 10 * released.held_token_s
--- a/tests/policy/test_program_aware.py
+++ b/tests/policy/test_program_aware.py
@@ -23,8 +23,8 @@
     idle = make_backend("idle")
     holder = make_backend("holder", cached_tokens=19_000, running=8)
     assert program_aware.choose(call, [idle, holder], now_ms=0) == "holder"
-    swamped = holder._replace(waiting=200)
-    assert program_aware.choose(call, [idle, swamped], now_ms=0) == "idle"
+    overloaded = holder._replace(waiting=200)
+    assert program_aware.choose(call, [idle, overloaded], now_ms=0) == "idle"
 
 
 def test_weights_that_must_be_loaded_count_as_waiting(
@@ -52,11 +52,11 @@
     assert fresh < served
 
 
-def test_nobody_starves(program_aware: ProgramAware, make_call: MakeCall) -> None:
+def test_no_program_starves(program_aware: ProgramAware, make_call: MakeCall) -> None:
     """A long program never gets another turn.
 
-    Sequence: a program that has had hours of service waits while new programs keep coming. Cause:
-    least attained service first, without a bound, puts each newcomer before it.
+    Sequence: a program that has had hours of service waits while new programs keep arriving. Cause:
+    least attained service first, without a limit, ranks each new program before it.
     """
     long_served = make_call(call_number=90, attained_ms=10_000_000, program_age_ms=0)
     waiting_since = program_aware.rank(long_served, now_ms=0)
@@ -75,24 +75,24 @@
     assert first < last
 
 
-def test_overload_sheds_the_youngest_only(
+def test_overload_sheds_new_programs_only(
     program_aware: ProgramAware, make_backend: MakeBackend, make_call: MakeCall
 ) -> None:
     """Programs nearly done are refused and their work is lost.
 
-    Sequence: the queues fill, then a call of a program under way and a new program come. Cause:
-    admission looks at the call alone, not at what its program has had already.
+    Sequence: the queues fill, then a call of a program in progress and a new program arrive. Cause:
+    admission considers the call alone, not the service that its program has had already.
     """
-    swamped = [make_backend("e", running=8, waiting=400)]
-    refused = program_aware.admit(make_call(), swamped)
+    overloaded = [make_backend("e", running=8, waiting=400)]
+    refused = program_aware.admit(make_call(), overloaded)
     assert not refused.admitted
     assert refused.retry_after_ms > 0
-    assert program_aware.admit(make_call(call_number=9, attained_ms=50_000), swamped).admitted
-    assert program_aware.admit(make_call(sub_agent=True), swamped).admitted
+    assert program_aware.admit(make_call(call_number=9, attained_ms=50_000), overloaded).admitted
+    assert program_aware.admit(make_call(sub_agent=True), overloaded).admitted
     assert program_aware.admit(make_call(), [make_backend("e")]).admitted
 
 
-def test_time_to_come_back_grows_with_the_queue_and_differs_by_program(
+def test_retry_time_grows_with_the_queue_and_differs_by_program(
     program_aware: ProgramAware, make_backend: MakeBackend, make_call: MakeCall
 ) -> None:
     shorter = [make_backend("e", running=8, waiting=400)]
@@ -104,7 +104,7 @@
     assert len(set(near)) > 40
 
 
-def test_what_cannot_finish_is_refused_for_good(
+def test_a_call_that_cannot_meet_its_deadline_is_refused_for_good(
     program_aware: ProgramAware, make_backend: MakeBackend, make_call: MakeCall
 ) -> None:
     late = make_call(call_number=4, prompt_tokens=100_000, deadline_left_ms=200)
@@ -113,13 +113,13 @@
     assert admission.retry_after_ms == 0
 
 
-def test_full_cache_holds_new_programs_back(
+def test_full_cache_refuses_new_programs(
     program_aware: ProgramAware, make_backend: MakeBackend, make_call: MakeCall
 ) -> None:
     """Engines are busy, few programs end: all compute the same prefixes again and again.
 
-    Sequence: more programs are let in than fit into the caches; each call pushes out the prefix
-    that another program needs next. Cause: admission that looks at slots and queues only.
+    Sequence: more programs are admitted than fit into the caches; each call evicts the prefix that
+    another program needs next. Cause: admission that considers slots and queues only.
     """
     full = [make_backend("e", live_tokens=99_000, capacity_tokens=100_000)]
     relaxed = make_call(deadline_left_ms=900_000)
@@ -165,9 +165,9 @@
 
 
 def test_pause_estimates_stay_bounded() -> None:
-    """The daemon's memory grows without end.
+    """The daemon's memory grows without limit.
 
-    Sequence: a caller labels each pause anew. Cause: an estimate is kept for every label.
+    Sequence: a caller gives each pause a new label. Cause: an estimate is stored for every label.
     """
     estimator = PauseEstimator()
     for number in range(MAX_TOOLS):
--- a/tests/policy/test_urgency.py
+++ b/tests/policy/test_urgency.py
@@ -1,4 +1,4 @@
-"""In which order full engines take turns."""
+"""In which order full engines run turns."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from quincespool.policy.urgency import turn_priority
 
 
-def test_importance_goes_before_what_is_left_to_a_program() -> None:
+def test_importance_counts_before_the_time_left_to_a_program() -> None:
     assert turn_priority(Rank(0), -5_000) < turn_priority(Rank(1), 10)
     assert turn_priority(Rank(1), 10) < turn_priority(Rank(1), 0)
     assert turn_priority(Rank(1), None) == turn_priority(Rank(1), 1)
 
 
-def test_no_priority_is_beyond_what_engines_know() -> None:
+def test_no_priority_exceeds_what_engines_accept() -> None:
     assert turn_priority(Rank(100), -1) == LAST_PRIORITY
 
 
-def test_programs_that_are_late_make_no_others_late() -> None:
+def test_late_programs_do_not_make_others_late() -> None:
     """Symptom: after a burst programs are late one after the other, long after it is over.
 
-    Events: a batch of six takes 20 turns a second; a burst leaves sixty programs that are late and
-    go on; then others begin at 14 a second, each turn of which has 1.5 s.
-    Cause: engines took turns in the order in which they came, the late ones first.
+    Events: a batch of six runs 20 turns a second; a burst leaves sixty programs that are late and
+    continue; then others begin at 14 a second, each turn of which has 1.5 s.
+    Cause: engines ran turns in order of arrival, the late ones first.
     """
     assert _late_share(by_urgency=True) < 0.05
     assert _late_share(by_urgency=False) > 0.5
@@ -46,7 +46,7 @@
             heapq.heappush(queue, (priority, due_ms + 1, False))
         if not queue:
             continue
-        # Twenty a second: one each 50 ms.
+        # Twenty turns a second: one each 50 ms.
         _, at_ms, was_late = heapq.heappop(queue)
         if not was_late:
             begun += 1
@@ -55,7 +55,7 @@
 
 
 def test_routes_keep_their_order_among_accounts_of_one_rank() -> None:
-    """An account's rank in place of the route's makes all routes of its callers alike."""
+    """If the account's rank replaced the route's, all routes of its callers would rank equal."""
     urgent, other = (make_rank(account_rank=1, route_rank=route) for route in (0, 2))
     assert turn_priority(urgent, 500) < turn_priority(other, 500)
     assert turn_priority(other, 500) < turn_priority(Rank(2), 500)
