--- a/src/quincespool/gateway/turns/program_parts.py
+++ b/src/quincespool/gateway/turns/program_components.py
@@ -1,4 +1,4 @@
-"""The parts that daemons share work by: who owns what, the links, and what goes over them."""
+"""Builds the components by which daemons share the work on programs, and dispatches messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 from quincespool.gateway.accounts.limits import AccountLimits
-from quincespool.gateway.accounts.limits import LimitTerms
+from quincespool.gateway.accounts.limits import LimitSettings
 from quincespool.gateway.members.links import Links
 from quincespool.gateway.members.messages import ConfigurationCopy
 from quincespool.gateway.members.messages import ConfigurationQuestion
@@ -29,25 +29,33 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quincespool.gateway.backends.attempt import Services
+    from quincespool.gateway.backends.attempt import AttemptContext
     from quincespool.gateway.callers.routes import RouteTable
     from quincespool.gateway.members.links import Link
-    from quincespool.gateway.members.table import Members
+    from quincespool.gateway.members.member_table import MemberTable
     from quincespool.gateway.settings import GatewaySettings
-    from quincespool.gateway.store.beliefs import Beliefs
-    from quincespool.gateway.store.beliefs import StoreHealth
-    from quincespool.gateway.store.hedged_calls import HedgedCalls
+    from quincespool.gateway.store.cluster_view import ClusterView
+    from quincespool.gateway.store.cluster_view import StoreHealth
+    from quincespool.gateway.store.hedged_requests import HedgedRequests
     from quincespool.gateway.store.interface import Partition
     from quincespool.gateway.store.interface import Store
     from quincespool.gateway.turns.ledger import Record
     from quincespool.gateway.turns.partition import OwnedPartition
 
 
-class ProgramParts:
-    """Makes the parts and hands each message to the one that it is for.
+class ProgramComponents:
+    """Builds the components and passes each message of another daemon to the one that handles it.
 
     Attributes:
-      partition_count: Partitions of program records, of all daemons together.
+      partition_count: Number of partitions of program records, over all daemons.
+      ownership: Which partitions this daemon owns.
+      links: Connections to the other daemons.
+      finder: Looks up turns at other owners.
+      admission: Admission control of programs.
+      turns: Runs turns at this daemon.
+      relay: Forwards turns to the owners of their programs.
+      limits: Limits of accounts.
+      copies: Exchange of copies of the configuration.
     """
 
     def __init__(
@@ -56,16 +64,16 @@
         *,
         incarnation: int,
         store: Store,
-        hedged: HedgedCalls,
+        hedged: HedgedRequests,
         store_health: StoreHealth,
-        services: Services,
-        members: Members,
+        services: AttemptContext,
+        members: MemberTable,
         routes: RouteTable,
-        beliefs: Beliefs,
+        cluster_view: ClusterView,
         on_partition: Callable[[OwnedPartition, str], None],
         on_refused: Callable[[str], None],
         has_time_until: Callable[[int], bool],
-        tell_claims: Callable[[], None],
+        announce_claims: Callable[[], None],
     ) -> None:
         topics = settings.owner_topic_names
         partitions = list_partitions(topics, settings.store_partitions)
@@ -80,15 +88,15 @@
             hedged=hedged,
             store_reachable=lambda: store_health.reachable,
             on_change=on_partition,
-            tell_claims=tell_claims,
+            announce_claims=announce_claims,
             on_assignment=lambda generation, count: log.write(
                 "partitions assigned", generation=generation, partitions=count
             ),
         )
         self.links = Links(
             settings.member_id,
-            on_message=self._take_message,
-            on_lost=self._lose_link,
+            on_message=self._dispatch_message,
+            on_lost=self._on_link_lost,
             on_refused=on_refused,
         )
         self.finder = TurnFinder(
@@ -102,7 +110,7 @@
         )
         self.turns = TurnRunner(
             services,
-            settle_elsewhere=self._settle_elsewhere,
+            settle_at_owner=self._settle_elsewhere,
             finder=self.finder,
             store_reachable=lambda: store_health.reachable,
             admission=self.admission,
@@ -127,7 +135,7 @@
             links=self.links,
             log=log,
             metrics=services.metrics,
-            terms=LimitTerms(
+            settings=LimitSettings(
                 window_ms=1_000 * settings.limit_window_s,
                 slack_calls=settings.limit_slack_calls,
                 overage_share=settings.limit_overage_share,
@@ -138,10 +146,10 @@
             members=members,
             links=self.links,
             log=log,
-            adopt=beliefs.adopt_copy,
+            adopt=cluster_view.adopt_copy,
         )
 
-    def _take_message(self, link: Link, sender: str, message: Any) -> None:
+    def _dispatch_message(self, link: Link, sender: str, message: Any) -> None:
         if isinstance(message, FindTurn | TurnFound | TurnAbsent | TurnForeign):
             self.finder.on_message(link, message)
         elif isinstance(message, PermitQuestion | PermitAnswer | PermitReturn):
@@ -151,11 +159,11 @@
         else:
             self.relay.on_message(link, sender, message)
 
-    def _lose_link(self, link: Link) -> None:
-        self.relay.on_lost(link)
+    def _on_link_lost(self, link: Link) -> None:
+        self.relay.on_link_lost(link)
         self.limits.on_lost(link)
 
     async def _settle_elsewhere(
         self, partition: Partition, record: Record, budget_tokens: int | None, left_ms: int
     ) -> bool:
-        return await self.relay.settle_elsewhere(partition, record, budget_tokens, left_ms)
+        return await self.relay.settle_at_owner(partition, record, budget_tokens, left_ms)
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""The end of a planned stop, with a port and a relay of the test's own."""
+"""The graceful shutdown of a daemon, with stubs for its port and its other components."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import cast
 
 from quincespool.gateway.clock import now_ms
+from quincespool.gateway.members.member_table import MemberTable
 from quincespool.gateway.members.messages import Heartbeat
-from quincespool.gateway.members.table import Members
 from quincespool.gateway.model import Daemon
 from quincespool.gateway.planned_stop import ANSWER_MARGIN_MS
 from quincespool.gateway.planned_stop import STOP_MARGIN_MS
@@ -24,11 +24,11 @@
     from quincespool.gateway.turns.relay import Relay
 
 GRACE_S = 2.0
-TIME_MS = 1_000 * GRACE_S - STOP_MARGIN_MS - ANSWER_MARGIN_MS
+ACCEPTED_MS = 1_000 * GRACE_S - STOP_MARGIN_MS - ANSWER_MARGIN_MS
 
 
 class _Port:
-    """A port whose request has been sent, and is read a turn of the loop after the first look."""
+    """A port with a sent request that is read one loop iteration after `busy` is first checked."""
 
     def __init__(self) -> None:
         self.draining = False
@@ -36,7 +36,7 @@
         self._busy = 0
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         if not self.events:
             self.events.append("looked")
             asyncio.get_running_loop().call_soon(self._read)
@@ -45,7 +45,7 @@
     def stop(self) -> None:
         self.events.append("closed")
 
-    async def cut_off(self) -> None:
+    async def cancel_requests(self) -> None:
         self.events.append("cut off" if self._busy else "ended")
 
     def _read(self) -> None:
@@ -63,7 +63,7 @@
     def __init__(self, took_over_ms: int = 0) -> None:
         self._took_over_ms = took_over_ms
 
-    def writes_since(self, since_ms: int) -> bool:
+    def has_retired_takeover_since(self, since_ms: int) -> bool:
         return self._took_over_ms > since_ms
 
     async def leave(self) -> None:
@@ -75,11 +75,11 @@
     relay: SimpleNamespace | None = None,
     *,
     took_over_ms: int = 0,
-    members: Members | None = None,
+    members: MemberTable | None = None,
 ) -> PlannedStop:
     live = SimpleNamespace(current=SimpleNamespace(stop_grace_s=GRACE_S, addresses_valid_ms=10))
-    quiet = SimpleNamespace(
-        tell_left=lambda: None,
+    stub = SimpleNamespace(
+        announce_departure=lambda: None,
         draining=False,
         announce=lambda: None,
         write_always=lambda *_, **__: None,
@@ -88,16 +88,16 @@
     )
     return PlannedStop(
         ownership=cast("Ownership", _Ownership(took_over_ms)),
-        presence=cast("Presence", quiet),
-        front_port=cast("HttpPort", port),
-        relay=cast("Relay", relay or quiet),
-        members=members or Members("a"),
-        live=cast("LiveSettings", live),
-        log=cast("DecisionLog", quiet),
+        presence=cast("Presence", stub),
+        caller_port=cast("HttpPort", port),
+        relay=cast("Relay", relay or stub),
+        members=members or MemberTable("a"),
+        live_settings=cast("LiveSettings", live),
+        log=cast("DecisionLog", stub),
     )
 
 
-async def test_a_request_that_is_read_after_the_last_look_is_answered_before_the_end() -> None:
+async def test_a_request_that_is_read_after_the_last_idle_check_is_answered() -> None:
     port = _Port()
     stop = _make_stop(port)
     stop.begin()
@@ -106,16 +106,16 @@
     assert port.events == ["looked", "answered", "closed", "ended"]
 
 
-async def test_only_calls_that_end_before_the_stop_does_are_taken() -> None:
+async def test_only_calls_with_a_deadline_before_the_end_of_the_stop_are_accepted() -> None:
     stop = _make_stop(_Port())
-    assert stop.leaves_time_until(now_ms() + 60_000)
+    assert stop.allows_deadline(now_ms() + 60_000)
     stop.begin()
-    last_ms = now_ms() + int(TIME_MS)
-    assert stop.leaves_time_until(last_ms - 10)
-    assert not stop.leaves_time_until(last_ms + 10)
+    last_ms = now_ms() + int(ACCEPTED_MS)
+    assert stop.allows_deadline(last_ms - 10)
+    assert not stop.allows_deadline(last_ms + 10)
 
 
-async def test_a_stop_waits_until_records_of_its_turns_are_settled() -> None:
+async def test_a_stop_waits_until_the_records_of_its_turns_are_settled() -> None:
     port = _Port()
     port.events.clear()
     relay = SimpleNamespace(serving=0, settling=1)
@@ -132,9 +132,9 @@
 async def test_the_last_owner_of_a_partition_stays_while_another_daemon_stops() -> None:
     port = _Port()
     port.events.clear()
-    members = Members("a")
+    members = MemberTable("a")
     members.put(Daemon("b", 1, "z", "b:1", "b:2"), now_ms())
-    members.hear("b", _draining_beat(), now_ms())
+    members.record_heartbeat("b", _draining_heartbeat(), now_ms())
     stop = _make_stop(port, took_over_ms=now_ms(), members=members)
     stop.begin()
     draining = asyncio.create_task(stop.drain())
@@ -145,5 +145,5 @@
     assert port.events[-1] == "ended"
 
 
-def _draining_beat() -> Heartbeat:
+def _draining_heartbeat() -> Heartbeat:
     return Heartbeat(1, 1, True, 0, 0, (), store_reachable=True)
--- a/tests/gateway/turns/test_partition.py
+++ b/tests/gateway/turns/test_partition.py
@@ -1,4 +1,4 @@
-"""The one writer to a partition: order, fencing, lost answers."""
+"""The single writer of a partition: order, fencing, lost answers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincespool.gateway.store.hedged_calls import HedgedCalls
+from quincespool.gateway.store.hedged_requests import HedgedRequests
 from quincespool.gateway.store.interface import Partition
 from quincespool.gateway.turns.ledger import TurnStarted
 from quincespool.gateway.turns.partition import OwnedPartition
@@ -37,7 +37,7 @@
         PARTITION,
         epoch=epoch,
         store=_client(store),
-        hedged=HedgedCalls(on_hedge=lambda: None),
+        hedged=HedgedRequests(on_hedge=lambda: None),
         on_change=lambda owned, detail: None,
     )
 
@@ -46,15 +46,15 @@
     return TurnStarted(f"t{number}", "p", 10, 0)
 
 
-async def test_records_stand_in_order_and_once() -> None:
-    """Symptom: a program's records twice in the log.
+async def test_records_are_appended_in_order_and_once() -> None:
+    """Guards against duplicate records of a program in the log.
 
-    Events: answers of the store are lost after the append was done.
-    Cause: an append without an answer must be repeated under the same number.
+    Answers of the store are lost after the append was done. An append without an answer must be
+    retried under the same sequence number.
     """
     async with make_platform_store(lose_writes=3) as store:
         owned = _own(store, 1)
-        await asyncio.gather(*[owned.keep(_record(number)) for number in range(20)])
+        await asyncio.gather(*[owned.append_durably(_record(number)) for number in range(20)])
 
         again = _own(store, 2)
         await again.ready_event.wait()
@@ -62,20 +62,20 @@
         assert len(store.state.partition(*PARTITION).records) == 20
 
 
-async def test_an_old_owner_writes_nothing_more() -> None:
+async def test_a_fenced_owner_appends_nothing_more() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
-        await old.keep(_record(1))
+        await old.append_durably(_record(1))
         new = _own(store, 2)
         await new.ready_event.wait()
 
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(2))
+            await old.append_durably(_record(2))
         assert old.lost
         assert len(store.state.partition(*PARTITION).records) == 1
 
 
-async def test_an_old_owner_cannot_confirm_itself() -> None:
+async def test_a_fenced_owner_cannot_confirm_its_ownership() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
         await old.ready_event.wait()
@@ -87,11 +87,11 @@
             await old.confirm()
 
 
-async def test_many_confirmations_share_requests() -> None:
-    """Symptom: the store refuses requests beyond its rate after all hosts have come back.
+async def test_concurrent_confirmations_share_requests() -> None:
+    """Guards against exceeding the store's request rate after all hosts have restarted.
 
-    Events: many programs look for turns at once; each owner confirms each partition each time.
-    Cause: a request to the store for every question.
+    Many programs look up turns at once, and each owner confirms each of its partitions for every
+    lookup. The store refuses requests beyond its rate if each confirmation sends one of its own.
     """
     async with make_platform_store() as store:
         owned = _own(store, 1)
@@ -102,13 +102,13 @@
         assert store.state.calls - before <= 2
 
 
-async def test_a_partition_that_was_lost_here_confirms_nothing_though_nobody_has_it() -> None:
+async def test_a_lost_partition_is_not_confirmed_though_no_other_daemon_owns_it() -> None:
     async with make_platform_store() as store:
         owned = _own(store, 1)
         await owned.ready_event.wait()
         asked = asyncio.create_task(owned.confirm())
         await asyncio.sleep(0)
-        owned.lose("leaving")
+        owned.mark_lost("leaving")
 
         with pytest.raises(LostPartitionError):
             await asked
@@ -116,41 +116,41 @@
             await owned.confirm()
 
 
-async def test_an_owner_that_was_given_up_writes_until_another_one_has_taken_over() -> None:
+async def test_a_retired_partition_is_written_until_another_daemon_takes_over() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
         await old.ready_event.wait()
         old.retire("leaving")
-        await old.keep(_record(1))
-        assert await old.settle(_record(2), budget_tokens=100) is Settlement.KEPT
+        await old.append_durably(_record(1))
+        assert await old.settle(_record(2), budget_tokens=100) is Settlement.DURABLE
 
         new = _own(store, 2)
         await new.ready_event.wait()
         assert list(new.ledger.programs["p"].reserved) == ["t1", "t2"]
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(3))
+            await old.append_durably(_record(3))
         assert await old.settle(_record(4), budget_tokens=100) is Settlement.NOT_HERE
         assert not old.in_use
 
 
-async def test_an_owner_that_was_given_up_is_needed_while_a_turn_is_under_way() -> None:
+async def test_a_retired_partition_is_in_use_while_a_turn_is_in_progress() -> None:
     async with make_platform_store() as store:
         owned = _own(store, 1)
         await owned.ready_event.wait()
-        with owned.turn_under_way():
+        with owned.turn_in_progress():
             owned.retire("leaving")
             assert owned.in_use
         assert not owned.in_use
-        kept = owned.submit(_record(1))
+        durable = owned.submit(_record(1))
         assert owned.in_use
-        await kept
+        await durable
         assert not owned.in_use
 
 
 async def test_an_owner_that_is_given_up_while_it_reads_keeps_what_the_last_one_cannot() -> None:
     async with make_platform_store() as store:
         old = _own(store, 1)
-        await old.keep(_record(1))
+        await old.append_durably(_record(1))
         store.knobs.delay_ms = 50
         new = _own(store, 2)
         partition = store.state.partition(*PARTITION)
@@ -158,12 +158,12 @@
             await asyncio.sleep(0.005)
         new.retire("reassigned")
         with pytest.raises(LostPartitionError):
-            await old.keep(_record(2))
+            await old.append_durably(_record(2))
 
         settled = Settlement.NOT_HERE
         for _ in range(100):
             settled = await new.settle(_record(2), budget_tokens=100)
-            if settled is Settlement.KEPT:
+            if settled is Settlement.DURABLE:
                 break
             await asyncio.sleep(0.01)
-        assert settled is Settlement.KEPT
+        assert settled is Settlement.DURABLE
