--- a/src/quincespool/gateway/model.py
+++ b/src/quincespool/gateway/model.py
@@ -124,8 +124,8 @@
     Attributes:
       max_head_bytes: Size of the request line and headers.
       max_body_bytes: Size of the body.
-      head_ms: Time to send the request line and headers.
-      idle_ms: How long a connection may stay idle between requests.
+      head_timeout_ms: Time to send the request line and headers.
+      idle_timeout_ms: How long a connection may stay idle between requests.
     """
 
     max_head_bytes: int = 65_536
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -125,7 +125,7 @@
         """Waits until the turn's token reservation is durable, if the store is reachable.
 
         Without it, a daemon that takes the partition over would not know of the turn and would let
-        the program spend its tokens again. `UncertainTokens` bounds what is sent before.
+        the program spend its tokens again. `UnrecordedTokens` bounds what is sent before.
 
         Raises:
           TurnFailedError: if the start must be durable first, and can't be made so in time.
