--- a/src/quincespool/gateway/turns/admission.py
+++ b/src/quincespool/gateway/turns/admission.py
@@ -25,7 +25,7 @@
 
 
 class ProgramAdmission(Protocol):
-    """Decides which programs may start; receives how long their turns wait for engines."""
+    """Decides which programs may start, from the times that turns have waited for engines."""
 
     def refuse(self, call: Call, parameters: TurnParameters, ledger: Ledger) -> Refusal | None:
         """Returns the refusal of a turn, None if the turn may run.
@@ -37,7 +37,7 @@
         """Records how long a turn took until an engine began to answer it.
 
         Args:
-          parameters: Of the turn.
+          parameters: Parameters of the turn.
           took_ms: Milliseconds from the turn's start at its owner to the head of the answer.
         """
 
@@ -45,7 +45,7 @@
         """Records that all engines refused a turn because they were full."""
 
     def update_estimates(self) -> None:
-        """Updates the estimates of how many turns a program has, from those that have ended.
+        """Updates the estimated numbers of turns per program from programs that have ended.
 
         To be called every few seconds.
         """
@@ -77,7 +77,7 @@
 
 
 class ControlledAdmission:
-    """Refuses programs that can't end in time, with their first turn and without any wait."""
+    """Refuses the first turn of a program that is not expected to end in time, without waiting."""
 
     def __init__(self, *, log: DecisionLog, metrics: Metrics) -> None:
         self._control = AdmissionControl()
--- a/src/quincespool/gateway/turns/finder.py
+++ b/src/quincespool/gateway/turns/finder.py
@@ -1,4 +1,4 @@
-"""Finds a turn of another program at any daemon, or makes certain that it does not exist."""
+"""Finds a turn of another program at any daemon, or establishes that it does not exist."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.partition import OwnedPartition
 
-# All owners answer within a few round trips to the store. Until this time is over, the query is
-# repeated for partitions that are reassigned meanwhile.
+# Time limit of a search. All owners answer within a few round trips to the store; until the limit,
+# the query is repeated for partitions that are reassigned in the meantime.
 FIND_TIMEOUT_MS = 800
 ROUND_TIMEOUT_MS = 250
 # The daemon that has the turn answers within one round trip, without a request to the store.
@@ -54,9 +54,9 @@
 
     Attributes:
       found: The turn, once a daemon has answered with it.
-      is_of_other_account: Whether a daemon knows the turn as one of another account.
-      absent_in: Partitions whose owners are certain not to have the turn.
-      updated: Set when one of the others has changed.
+      is_of_other_account: Whether a daemon has reported that the turn belongs to another account.
+      absent_in: Partitions whose confirmed owners have reported that they do not have the turn.
+      updated: Set when one of the other attributes has changed.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def find(self, turn_id: str, account: str) -> FoundTurn | None:
-        """Returns the turn, or that it does not exist; None if neither is certain in time.
+        """Returns the result of a search; None if it can't be established within the time limit.
 
         Args:
           turn_id: Id of the turn.
@@ -121,8 +121,8 @@
         if isinstance(message, TurnFound):
             search.found = FoundTurn(message.history, message.retention_ms)
         elif isinstance(message, TurnForeign):
-            # The search goes on until the round ends: a turn of the account itself with the same id
-            # is reported just as quickly.
+            # The search continues until the round ends: a turn of the account itself with the same
+            # id is reported just as quickly.
             search.is_of_other_account = True
         else:
             search.absent_in.update(Partition(one.topic, one.number) for one in message.partitions)
@@ -131,9 +131,9 @@
     async def _run_round(self, search: _Search, query: FindTurn) -> None:
         """Queries all daemons once; waits until all have answered or the round is over.
 
-        Only from the second round on, daemons without the turn have the store confirm that they own
-        their partitions. After a loss of all hosts, many programs look for their turns at once, and
-        a request for each partition in each round was more than the store can handle.
+        Only from the second round on, daemons that don't have the turn ask the store to confirm
+        that they own their partitions. After all hosts have failed, many programs look for their
+        turns at once, and a request for each partition in each round would overload the store.
         """
         for daemon in self._members.others:
             if self._members.is_alive(daemon.member_id, now_ms()):
@@ -173,10 +173,10 @@
             link.send(TurnAbsent(message.find_id, absent_from))
 
     def _is_foreign(self, query: FindTurn) -> bool:
-        """Whether the turn is known here as one of another account than the query's.
+        """Whether this daemon has the turn, but not in a program of the query's account.
 
-        No confirmation by the store is needed for that: once the turn is known to belong to another
-        account, the other partitions need not be searched.
+        The store need not confirm the ownership in this case: once the turn is known to belong to
+        another account, the other partitions need not be searched.
         """
         return any(
             owned.ledger.is_foreign(query.turn_id, query.account)
--- a/src/quincespool/gateway/turns/log_extent.py
+++ b/src/quincespool/gateway/turns/log_extent.py
@@ -19,7 +19,7 @@
 
 
 class LogExtent:
-    """First needed offset of each program, and the size of the log before some offsets."""
+    """Offset of each program's first needed record, and the size of the log up to some offsets."""
 
     def __init__(self) -> None:
         self._first_offsets: dict[str, int] = {}
@@ -51,7 +51,7 @@
             self._unreadable_from = offset
 
     def add_mark(self, end_offset: int) -> None:
-        """Records the size of the log up to an offset before which all records are added."""
+        """Records the size of the log up to an offset before which all records have been added."""
         if self._total_bytes - self._marks[-1].total_bytes >= MARK_BYTES:
             self._marks.append(_Mark(end_offset, self._total_bytes))
 
@@ -60,7 +60,7 @@
 
         Args:
           program_ids: Programs whose records are needed.
-          least_bytes: None is returned if trimming would free less than this.
+          least_bytes: None is returned if trimming would free fewer bytes than this.
         """
         self._first_offsets = {
             one: at for one, at in self._first_offsets.items() if one in program_ids
--- a/src/quincespool/gateway/turns/ownership.py
+++ b/src/quincespool/gateway/turns/ownership.py
@@ -43,7 +43,7 @@
 
 
 def list_partitions(topics: list[str], partition_count: int) -> list[Partition]:
-    """Returns all partitions of some topics."""
+    """Returns all partitions of the given topics."""
     return [Partition(topic, number) for topic in topics for number in range(partition_count)]
 
 
@@ -53,9 +53,9 @@
     Attributes:
       owned: Partitions assigned to this daemon, including those whose records are not read yet.
       generation: Generation of the assignment.
-      confirmed_until_ms: Steady clock at which the lease expires; until then the store does not
-        reassign the partitions by itself. They may still be taken over at any time: a caller that
-        must be certain uses `OwnedPartition.confirm`.
+      confirmed_until_ms: Monotonic clock (ms) at which the lease expires; until then the store does
+        not reassign the partitions by itself. They may still be taken over at any time: a caller
+        that must be certain uses `OwnedPartition.confirm`.
     """
 
     def __init__(
@@ -73,7 +73,8 @@
         announce_claims: Callable[[], None],
     ) -> None:
         self.owned: dict[Partition, OwnedPartition] = {}
-        # Given up, but still written for turns in progress; of each partition the newest last.
+        # Partitions that were given up and are still written for turns in progress. If a partition
+        # has several entries, the newest is the last.
         self._retired: list[OwnedPartition] = []
         self.generation = 0
         self.confirmed_until_ms = 0
@@ -120,24 +121,24 @@
                 writer.mark_lost("taken over")
 
     def writer(self, partition: Partition) -> OwnedPartition | None:
-        """Returns the present writer of a partition, perhaps retired; None if there is none."""
+        """Returns this daemon's writer of a partition, which may be retired, or None."""
         retired = [one for one in self._retired if one.partition == partition]
         return self.owned.get(partition) or (retired[-1] if retired else None)
 
     @property
     def is_writing(self) -> bool:
-        """Whether records wait to be appended and appends are not stalled."""
+        """Whether any partition that is not stalled has records that wait to be appended."""
         writers = [*self._retired, *self.owned.values()]
         return any(not one.idle and not one.stalled for one in writers)
 
     def has_retired_takeover_since(self, since_ms: int) -> bool:
-        """Whether a retired partition without a new owner had another owner until lately.
+        """Whether a retired partition was recently taken over by this daemon and has no new owner.
 
         Turns of the previous owner may still be in progress and need this daemon to write their
         records.
 
         Args:
-          since_ms: Steady clock after which the takeover counts as recent.
+          since_ms: Monotonic clock (ms) after which the takeover counts as recent.
         """
         return any(one.had_records and one.since_ms > since_ms for one in self._retired)
 
@@ -152,7 +153,10 @@
                 one.mark_lost("turns ended")
 
     def request_renewal(self) -> None:
-        """Has the lease renewed at once; for when another daemon reports a newer generation."""
+        """Triggers a renewal of the lease at once.
+
+        To be called when another daemon reports a newer generation.
+        """
         self._renewal_wanted.set()
 
     async def run(self) -> None:
@@ -187,15 +191,15 @@
     async def release(self, member_id: str, incarnation: int) -> None:
         """Ends the lease of a process that has stopped, so that its partitions are reassigned now.
 
-        If the process is still running, it joins the group again; its writes in between are fenced.
+        If the process is still running, it joins the group again; its writes until then are fenced.
         """
         await self._release(_owner_id(member_id, incarnation))
 
     async def pause(self, reason: str) -> None:
-        """Leaves the partitions to other daemons while these can't reach this one.
+        """Gives the partitions up to other daemons while those daemons can't reach this one.
 
-        Resumes by itself when the group has no owner at all: the others have stopped, and are not
-        just unreachable from here.
+        Resumes automatically when the group has no owner at all: the other daemons have then
+        stopped, and are not only unreachable from this one.
 
         Args:
           reason: Reason for the log line of each partition that is given up.
@@ -226,7 +230,7 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether this daemon leaves the partitions to others; see `pause`."""
+        """Whether this daemon leaves its partitions to other daemons; see `pause`."""
         return self._paused
 
     async def _renew(self) -> bool:
@@ -304,8 +308,9 @@
         if any(
             self.owned[one].ready and self.owned[one].since_ms > recent_ms for one in partitions
         ):
-            # Until another daemon takes a partition over, this one writes the records of its turns
-            # that other daemons hold. Those that have not received its claim would not know that.
+            # Until another daemon takes a partition over, this one appends the records that other
+            # daemons send for turns of the partition. Daemons that have not received its claim
+            # would not know where to send them.
             self._announce_claims()
         for partition in partitions:
             owned = self.owned.pop(partition)
@@ -317,6 +322,7 @@
 def _owner_id(member_id: str, incarnation: int) -> str:
     """Returns the name of a daemon in the group of owners, which differs for each of its processes.
 
-    With the same name for all, a late request of a stopped process would act for the running one.
+    If all processes had the same name, a late request of a stopped one would apply to the running
+    one.
     """
     return f"{member_id}.{incarnation}"
--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -50,7 +50,7 @@
 # Pause before a partition is given up whose records could not be read because of a fault: the next
 # attempt to read it probably fails in the same way.
 FAULT_PAUSE_S = 1.0
-# Well below the platform's limit of two megabytes per call.
+# Maximum size of one append, well below the platform's limit of two megabytes per call.
 MAX_BATCH_BYTES = 1_000_000
 
 
@@ -59,7 +59,7 @@
 
     Attributes:
       partition: Topic and number of the partition.
-      since_ms: Steady clock at which this daemon began to take the partition over.
+      since_ms: Monotonic clock (ms) at which this daemon began to take the partition over.
       epoch: Fencing epoch of all appends. The next owner uses a higher one; from then on the store
         rejects every append under this one, however late it arrives.
       ledger: The state after all submitted records, including those that are not durable yet.
@@ -116,7 +116,7 @@
         await asyncio.shield(self.submit(record))
 
     async def settle(self, record: Record, *, budget_tokens: int | None) -> Settlement:
-        """Appends a record of a turn that an earlier owner, fenced off since, has admitted.
+        """Appends a record of a turn that an earlier owner admitted before it was fenced.
 
         This owner has not counted the turn so far and may have allocated the rest of the budget to
         other turns, so the start of a turn is checked against the budget again. Without the check,
@@ -155,9 +155,10 @@
             self._unconfirmed.append(waiting)
             future.set_exception(LostPartitionError())
             return future
-        # Applied before it is durable: two turns that arrive at the same moment must not both get
-        # budget that is left for only one. Later records follow this one in the log, so a daemon
-        # that reads them arrives at the same state; if this one is never appended, nor are they.
+        # The record is applied before it is durable: two turns that arrive at the same moment must
+        # not both get budget that is left for only one. Later records follow this one in the log,
+        # so a daemon that reads them arrives at the same state; if this record is never appended,
+        # the later ones are not appended either.
         self.ledger.apply(record)
         self._waiting.append(waiting)
         if urgent:
@@ -210,7 +211,7 @@
         """Returns the offset before which no record is needed.
 
         Args:
-          least_bytes: None is returned if trimming would free less than this.
+          least_bytes: None is returned if trimming would free fewer bytes than this.
         """
         if not self.ready:
             return None
@@ -225,7 +226,8 @@
         """
         # The store does not fence trim requests. A fenced owner may consider programs expired that
         # continue at the next owner, so ownership is confirmed first. Records that were not needed
-        # before the confirmation stay so, unless a program comes back after its retention.
+        # before the confirmation are not needed later, unless a program is continued after its
+        # retention.
         await self.confirm()
         await self._store.trim(self.partition, before)
         self._extent.drop_before(before)
@@ -303,11 +305,11 @@
             self.mark_lost("fenced")
         except SequenceError as error:
             # Only this task appends under this epoch, so sequence numbers can differ only if the
-            # store has lost its state of the writer. A new takeover reads what the store has.
+            # store has lost its state of the writer. A new takeover reads the stored records.
             self.mark_lost(f"sequence {error.expected} expected, {self._sequence} sent")
         except Exception as error:
-            # Without this task nothing is written any more. The next takeover, here or at another
-            # daemon, starts again from the stored records.
+            # Without this task no more records are appended. The next takeover, by this daemon or
+            # another one, starts again from the stored records.
             report_exception("partition failed", error)
             if not self.ready:
                 await asyncio.sleep(FAULT_PAUSE_S)
@@ -347,8 +349,8 @@
                 self._extent.add_record(position, record.program_id, len(data), replaces=replaces)
             except msgspec.DecodeError as error:
                 self._extent.add_unreadable(position)
-                # Written by a version with other record types. Its turn can't be continued here,
-                # and this log line is the only trace of that.
+                # The record was written by a version with other record types. Its turn can't be
+                # continued at this daemon, and only this log line reports that.
                 self._on_change(self, f"undecodable record: {error}")
         self._extent.add_mark(offset + len(page.records))
         return offset + len(page.records)
--- a/src/quincespool/gateway/turns/program_components.py
+++ b/src/quincespool/gateway/turns/program_components.py
@@ -1,4 +1,4 @@
-"""Builds the components by which daemons share the work on programs, and dispatches messages."""
+"""Builds the components that serve programs across daemons, and dispatches their messages."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class ProgramComponents:
-    """Builds the components and passes each message of another daemon to the one that handles it.
+    """Builds the components and passes each message of another daemon to its handler.
 
     Attributes:
       partition_count: Number of partitions of program records, over all daemons.
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -1,4 +1,4 @@
-"""Relays turns to the owners of their programs, and runs those that other daemons relay here."""
+"""Relays turns to the owners of their programs, and runs turns that other daemons relay here."""
 
 from __future__ import annotations
 
@@ -53,16 +53,17 @@
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.gateway.turns.runner import TurnRunner
 
-# A reassigned partition has a new owner within some tens of milliseconds, after a crash of its
-# owner within the lease. A turn waits for an owner no longer than this, since a refusal costs its
-# caller little.
+# Maximum time for which a turn waits for an owner. A reassigned partition has a new owner within
+# some tens of milliseconds or, if its owner has crashed, within the duration of the lease. A turn
+# does not wait longer, since a refusal costs its caller little.
 OWNER_WAIT_MS = 500
 OWNER_POLL_S = 0.02
 OWNER_RETRY_MS = 400
-# The same as for a turn whose owner can't write to the store: until the store is back, it assigns
-# the partition to nobody else.
+# The same retry time as for a turn whose owner can't write to the store: until the store is
+# reachable again, it assigns the partition to no other daemon.
 STORE_UNREACHABLE_RETRY_MS = 1_300
-# The owner answers by the time limit. If it has not done so this long after, it never will.
+# How long after the time limit of a turn its owner's answer is still awaited. The owner answers by
+# the time limit, so an answer that has not arrived by then is not expected any more.
 ANSWER_GRACE_MS = 120
 NOT_OWNER = "not_owner"
 
@@ -199,7 +200,7 @@
     ) -> bool:
         """Has the current owner of a partition append a record; returns whether it is durable.
 
-        A daemon that has given the partition up still writes to it until another one does.
+        A daemon that has given the partition up still writes to it until another one takes it over.
 
         Args:
           partition: The partition of the record.
@@ -299,8 +300,8 @@
         try:
             self._forward_answer(pending, message)
         except Exception as error:
-            # The handler of the caller's request raises it. Raised here, it would close the link,
-            # with every other turn on it.
+            # The handler of the caller's request raises the error. If it were raised here, it would
+            # close the link and end every other turn on it.
             pending.done.set_exception(error)
 
     def _forward_answer(
@@ -379,7 +380,8 @@
         try:
             record = decode_record(message.record)
         except msgspec.DecodeError:
-            # The sender runs another version. It stops trying when its time limit is over.
+            # The sender runs a version with other record types. It stops retrying when its time
+            # limit is over.
             owned = None
         if owned is not None:
             budget_tokens = read_optional(message.budget_tokens)
--- a/src/quincespool/gateway/turns/relay_codec.py
+++ b/src/quincespool/gateway/turns/relay_codec.py
@@ -22,7 +22,7 @@
     Args:
       relay_id: Identifies the turn in the messages of the answer.
       call: The call; its `turn` is set.
-      parameters: What the daemon that received the call has decided about it.
+      parameters: Parameters that the daemon that received the call has determined for it.
       left_ms: Milliseconds until the time limit of the call.
     """
     turn = call.turn
@@ -100,10 +100,10 @@
 
 
 def encode_headers(headers: Headers) -> tuple[HeaderPair, ...]:
-    """Returns headers as messages contain them."""
+    """Returns headers in the form that messages between daemons contain."""
     return tuple(HeaderPair(name, value) for name, value in headers)
 
 
 def decode_headers(pairs: tuple[HeaderPair, ...]) -> Headers:
-    """Returns headers as calls contain them."""
+    """Returns headers in the form that `Call` contains."""
     return tuple((pair.name, pair.value) for pair in pairs)
--- a/src/quincespool/gateway/turns/renewal.py
+++ b/src/quincespool/gateway/turns/renewal.py
@@ -1,8 +1,9 @@
 """Writes a snapshot of long-lived programs before the store drops their oldest records.
 
-Without it, a later owner reads a history that lacks its first turns and a budget of which nothing
-is spent: programs older than the store's retention get 404 and more tokens than their budget.
-Programs whose records the store retains for longer than they can be continued aren't written again.
+Without a snapshot, a later owner reads a history that lacks its first turns and a budget of which
+no tokens are spent: programs older than the store's retention get status 404 and more tokens than
+their budget. No snapshot is written of programs whose records the store retains for longer than the
+programs can be continued.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
     @property
     def interval_ms(self) -> int:
-        """Longest allowed time between two checks."""
+        """Longest allowed time between two checks, in milliseconds."""
         return max(1, self._retention_ms // CHECKS_PER_RETENTION)
 
     def renew(self, owned: OwnedPartition, *, wall_ms: int, now_ms: int) -> None:
@@ -46,8 +47,8 @@
 
         Args:
           owned: Partition to check.
-          wall_ms: Wall clock.
-          now_ms: Steady clock.
+          wall_ms: Wall clock time in milliseconds.
+          now_ms: Monotonic clock in milliseconds.
         """
         if not owned.ready or owned.stalled:
             return
--- a/src/quincespool/gateway/turns/runner.py
+++ b/src/quincespool/gateway/turns/runner.py
@@ -35,13 +35,13 @@
 
 # While the store does not answer, no record of a turn can be made durable. Callers have few
 # retries; at intervals of a third of their usual four seconds, the retries outlast an outage of
-# about four.
+# about four seconds.
 STALLED_RETRY_MS = 1_300
 # The new owner of a partition has read its log within some tens of milliseconds.
 OWNER_CHANGED_RETRY_MS = 100
 # While the store is unreachable, a call with more than this share of the route's time limit left is
-# refused once, to be retried later. A call with less left has waited already: its turn runs, and
-# its end is recorded if the store is back in time.
+# refused once, to be retried later. A call with less time left has already waited: its turn runs,
+# and the end of the turn is recorded if the store is reachable again in time.
 RETRY_LATER_SHARE = 0.8
 PARTITION_STALLED = "partition_stalled"
 UNAVAILABLE_STATUS = 503
@@ -131,10 +131,11 @@
             run.close()
 
     def evict_programs(self, max_programs: int = 4_096) -> None:
-        """Forgets the engines of the least recently active programs; updates admission estimates.
+        """Limits for how many programs the last engine is stored; updates the admission estimates.
 
         Args:
-          max_programs: For how many programs the last engine stays known.
+          max_programs: Maximum number of programs whose last engine is stored; those of the least
+            recently active programs are removed.
         """
         for program_id in list(self._last_engine)[:-max_programs]:
             del self._last_engine[program_id]
@@ -143,7 +144,9 @@
     async def _import_history(
         self, call: Call, turn: Turn, parameters: TurnParameters, owned: OwnedPartition
     ) -> Refusal | None:
-        """Copies the history of another program's turn here, so that this program can continue it.
+        """Copies the history of another program's turn to the partition of the calling program.
+
+        The calling program can then continue that turn.
 
         Returns:
           The refusal if the turn can't be continued, None if it can.
@@ -217,7 +220,7 @@
 async def _confirm_refusal(refusal: Refusal, owned: OwnedPartition) -> Refusal:
     """Returns the refusal if it is valid, else one that lets the caller retry.
 
-    A new owner may know the turn, or more of the budget. A refusal for a missing turn or a spent
+    A new owner may have the turn, or more unspent budget. A refusal for a missing turn or a spent
     budget ends the program, so it is returned only after the store has confirmed the owner.
     """
     if refusal.status == UNAVAILABLE_STATUS:
--- a/src/quincespool/gateway/turns/stream_progress.py
+++ b/src/quincespool/gateway/turns/stream_progress.py
@@ -15,7 +15,7 @@
 
 
 class EventGapError(Exception):
-    """Raised if an attempt does not continue where the last one ended."""
+    """Raised if an attempt does not continue the stream directly after the last relayed event."""
 
 
 class StreamProgress:
@@ -75,7 +75,7 @@
             self._has_unnumbered_event = True
         elif last is not None:
             if number <= last:
-                # The engine has started from an earlier event than was asked for.
+                # The engine has started from an earlier event than was requested.
                 return False
             if (
                 self._awaits_continuation
--- a/src/quincespool/gateway/turns/trimming.py
+++ b/src/quincespool/gateway/turns/trimming.py
@@ -15,8 +15,8 @@
     from quincespool.gateway.turns.partition import OwnedPartition
     from quincespool.net.metrics import Metrics
 
-# Total over all partitions, a quarter of the store's capacity. Below it the store's own retention
-# frees enough space, and no trim requests are sent.
+# Total size of unneeded records over all partitions, a quarter of the store's capacity. Below it,
+# the store's own retention frees enough space, and no trim requests are sent.
 UNTRIMMED_BYTES = 100_000_000
 
 
@@ -33,7 +33,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def trim(self, owned: OwnedPartition) -> None:
-        """Starts to delete unneeded records if they are large enough or the store is full."""
+        """Starts to delete unneeded records if their size is large enough or the store is full."""
         least_bytes = 1 if self._store_full() else self._least_bytes
         before = owned.trimmable_before(least_bytes)
         if before is not None and owned not in self._in_progress:
--- a/src/quincespool/gateway/turns/turn_records.py
+++ b/src/quincespool/gateway/turns/turn_records.py
@@ -1,4 +1,4 @@
-"""Appends the records of one turn; bounds what may be sent before they are durable."""
+"""Appends the records of one turn; limits the tokens sent before the records are durable."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 # If the caller of a turn has disconnected, or got the verdict that the turn may have run, its
 # records are made durable at the partition's next owner within this time, or not at all.
 SETTLE_TIMEOUT_MS = 1_800
-# The end of a turn waits for its records for as long as callers wait for an event, less this time
-# for the answer to reach them. With a shorter wait, a turn that would have ended completely once
-# the store is back would be broken off, and run again.
+# The end of a turn waits until its records are durable, at most for as long as callers wait for an
+# event less this time, in which the answer reaches them. With a shorter wait, a turn that would
+# have ended completely once the store is reachable again would be broken off, and run again.
 EVENT_GAP_MARGIN_MS = 200
-# For at least this long callers wait for an event; used if a daemon of an earlier version relays a
-# turn without saying how long.
+# Minimum time for which callers wait for an event; used if a daemon of an earlier version relays a
+# turn without this time.
 MIN_EVENT_GAP_MS = 2_000
 STORE_UNREACHABLE = "store_away"
 
@@ -88,7 +88,7 @@
     """The records of one turn in progress.
 
     Attributes:
-      sent_events: Number of events sent to the caller, counting one that was sent only in part.
+      sent_events: Number of events sent to the caller, including one that was sent only in part.
     """
 
     def __init__(
@@ -124,11 +124,12 @@
     async def wait_for_start(self) -> None:
         """Waits until the turn's token reservation is durable, if the store is reachable.
 
-        Without it, a daemon that takes the partition over would not know of the turn and would let
-        the program spend its tokens again. `UnrecordedTokens` bounds what is sent before.
+        Without the reservation, a daemon that takes the partition over would not know of the turn
+        and would let the program spend its tokens again. `UnrecordedTokens` limits the tokens that
+        are sent before the reservation is durable.
 
         Raises:
-          TurnFailedError: if the start must be durable first, and can't be made so in time.
+          TurnFailedError: if the start must be durable first and does not become durable in time.
         """
         assert self._start_append is not None
         if self._start_deferred:
@@ -143,10 +144,10 @@
             await self._require_durable_start()
 
     async def count_events_to_send(self, events: int) -> None:
-        """Counts events that are sent next; waits if the start must be durable before that.
+        """Counts events that are about to be sent; first waits for the start if it must be durable.
 
         Raises:
-          TurnFailedError: if the start must be durable first, and can't be made so in time.
+          TurnFailedError: if the start must be durable first and does not become durable in time.
         """
         tokens = events * self._parameters.tokens_per_event
         if not self._is_start_durable:
@@ -228,9 +229,9 @@
         return start
 
     def _may_defer_start(self) -> bool:
-        """Whether the start may be appended together with the end.
+        """Whether the record of the turn's start may be appended together with that of its end.
 
-        That is so if all other tokens sent to the program are in durable records.
+        This is allowed if durable records account for all other tokens sent to the program.
         """
         uncertain, program_id = self._owned.unrecorded, self._turn.program_id
         if self._owned.stalled or not self._context.store_reachable():
@@ -238,10 +239,10 @@
         return uncertain.is_allowed(program_id) and uncertain.is_fully_recorded(program_id)
 
     async def _settle_failed(self, append: asyncio.Future[None], record: TurnBroken) -> None:
-        """Has the next owner of the partition record what was sent, if this one lost ownership.
+        """Has the partition's next owner record the sent tokens, if this daemon lost ownership.
 
-        Without the record of the failure, a durable reservation would stay spent for good. Without
-        a durable reservation, the tokens that were sent could be spent again.
+        Without the record of the failure, a durable reservation would count as spent forever.
+        Without a durable reservation, the tokens that were sent could be spent again.
         """
         try:
             await asyncio.shield(append)
@@ -252,13 +253,13 @@
                 await self._settle_at_owner(record, SETTLE_TIMEOUT_MS)
 
     def _submit_long_history(self, text: bytes) -> str:
-        """Submits what does not fit into the turn's last record, as the history before it.
+        """Submits the text that does not fit into the turn's last record as preceding history.
 
         The store would always refuse a record that is too large, and with it every later record of
         the partition.
 
         Returns:
-          The id that the turn's last record names as the turn before it.
+          The id that the turn's last record must have as its `previous_id`.
         """
         history_id = f"{self._call.call_id}#head"
         parts = split_history(
--- a/src/quincespool/gateway/turns/turn_retries.py
+++ b/src/quincespool/gateway/turns/turn_retries.py
@@ -15,9 +15,9 @@
 # Pauses before the same full engine is tried again. The queue of a full engine advances by one turn
 # every few tens of milliseconds. The sum of the pauses is as long as a caller waits for a retry.
 FULL_RETRY_PAUSES_MS = (30, 60, 120)
-# Limits the attempts of one turn that break off: a fault may break off every one of them.
+# Maximum number of attempts of one turn that break off: a fault may break off every attempt.
 MAX_LOST_ATTEMPTS = 4
-# With less time left, no engine produces a first event.
+# With less time left than this, no engine produces a first event.
 MIN_REMAINING_MS = 60
 
 
@@ -27,9 +27,9 @@
     Attributes:
       UNREACHABLE: The turn was not sent: nothing listens at the address, or the host does not
         answer.
-      REPLACED: Another process than the engine listens at the address; it refused the turn.
+      REPLACED: A process other than the engine listens at the address and refused the turn.
       FULL: The engine refused the turn.
-      ANSWER_LOST: The turn was sent, and there will be no complete answer.
+      ANSWER_LOST: The turn was sent, and its complete answer can't be received any more.
     """
 
     UNREACHABLE = "unreachable"
--- a/src/quincespool/gateway/turns/turn_run.py
+++ b/src/quincespool/gateway/turns/turn_run.py
@@ -43,7 +43,7 @@
 # The queue of a full engine advances by one turn every few tens of milliseconds.
 FULL_RETRY_MS = 250
 NO_BACKEND_RETRY_MS = 400
-# Subtracted from the time limit that the engine gets: time for the answer to come back.
+# Subtracted from the time limit that is sent to the engine, so that its answer arrives in time.
 ANSWER_TRANSFER_MS = 15
 
 
@@ -66,7 +66,7 @@
 
     Attributes:
       engine: The engine that last answered a turn of the program, and so may still have the
-        program's cache; None if there is none. It is preferred.
+        program's cache; None if unknown. It is preferred for the turn's attempts.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         """Sends the turn to engines until one has answered it completely; relays the answer.
 
         Raises:
-          TurnFailedError: if the turn fails; has the final answer for the caller.
+          TurnFailedError: if the turn fails; contains the final answer for the caller.
         """
         retries = TurnRetries(
             max_engines=self._parameters.max_attempts, may_rerun=self._parameters.is_resumable
@@ -242,7 +242,7 @@
         return None
 
     def _relay_head(self, head: AnswerHead) -> None:
-        """Sends the head of the answer, once: those of later attempts are dropped."""
+        """Sends the head of the answer once; the heads of later attempts are dropped."""
         if not self._head_sent:
             self._head_sent = True
             self._reply.start(head.status, head.headers)
@@ -253,7 +253,7 @@
             return body
         attempt.complete(is_valid=head.status < 500)
         if self._head_sent:
-            # The caller has part of a successful answer, which a failure can't continue.
+            # The caller has part of a successful answer, which an error answer can't continue.
             return AnswerLost(f"status {head.status} from an engine that was to continue a stream")
         self._reply.start(head.status, head.headers)
         self._reply.send_chunk(body)
@@ -263,7 +263,8 @@
     async def _relay_piece(self, attempt: Attempt, data: bytes) -> AnswerLost | None:
         """Relays a piece of the body.
 
-        If the stream may be resumed, only complete events are relayed, else all bytes as they come.
+        If the stream may be resumed, only complete events are relayed, otherwise all bytes as they
+        arrive.
         """
         if self._parameters.is_resumable:
             try:
--- a/src/quincespool/gateway/turns/unrecorded_tokens.py
+++ b/src/quincespool/gateway/turns/unrecorded_tokens.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A typical turn generates less than this share of its maximum.
+# A typical turn generates less than this share of its maximum number of tokens.
 TYPICAL_TURN_SHARE = 1 / 3
 
 
@@ -62,7 +62,7 @@
         self._open_turns[program_id] = self._open_turns.get(program_id, 0) + 1
 
     def end_turn(self, program_id: str) -> None:
-        """Counts a turn no longer: its start is durable or has failed."""
+        """Stops counting a turn, whose start is now durable or has failed."""
         left = self._open_turns.get(program_id, 0) - 1
         if left > 0:
             self._open_turns[program_id] = left
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -50,7 +50,7 @@
 
 
 class Faults(NamedTuple):
-    """Shares of the store's requests that fail.
+    """Shares of the requests to the store that fail.
 
     Attributes:
       refused: Answered with a refusal and not applied.
@@ -224,7 +224,7 @@
         """Takes a number of steps.
 
         Raises:
-          AssertionError: if a promise to callers is broken.
+          AssertionError: if a guarantee to callers is violated.
         """
         self._hedged = HedgedRequests(on_hedge=lambda: None) if self._hedges else _SingleCalls()
         while self.steps < steps:
@@ -277,7 +277,7 @@
         ready = [one for one in self._owners if one.ready and not one.retired]
         if not ready:
             return
-        # Mostly the newest; callers of a fenced daemon still reach the old one.
+        # Mostly the newest owner; callers may still be connected to one that was fenced.
         owned = ready[-1] if self._chance.random() < 0.7 else self._chance.choice(ready)
         program = f"{self._chance.choice(PROGRAMS)}.{self._round}"
         self._turn_count += 1
@@ -328,7 +328,8 @@
             return
         text = turn.encode()
         ended = TurnEnded(turn, program, previous, text, b"!", tokens, RETENTION_MS, 0)
-        # Submitted in this order, so that the end releases what the start has reserved.
+        # Submitted in this order, so that the end releases the tokens that the start has
+        # reserved.
         ended_durable = owned.submit(ended)
         if start_durable is not None and not await self._await_durable(
             start_durable, start, has_output=True
@@ -392,7 +393,7 @@
         return True
 
     async def _end_round(self) -> None:
-        """Waits for all turns; a new owner must then have everything that callers were promised."""
+        """Waits for all turns; checks that a new owner then has each turn reported as complete."""
         self._store.refuses_all = False
         self._take_over()
         newest = self._owners[-1]
--- a/tests/gateway/turns/test_admission.py
+++ b/tests/gateway/turns/test_admission.py
@@ -71,7 +71,7 @@
 
 
 def test_a_program_that_has_started_is_admitted(log: _Log) -> None:
-    """The engine time that its earlier turns took would be wasted."""
+    """If it were refused, the engine time of its earlier turns would be wasted."""
     admission, ledger = _admission_with_full_engines(log), Ledger()
     ledger.apply(TurnStarted("t0", "known", 10, 0))
     assert admission.refuse(_call("known"), PARAMETERS, ledger) is None
--- a/tests/gateway/turns/test_ledger_machine.py
+++ b/tests/gateway/turns/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""The ledger against an oracle: every reader of the records gets budgets and histories right."""
+"""The ledger against an oracle: all readers of its records derive correct budgets and histories."""
 
 from __future__ import annotations
 
--- a/tests/gateway/turns/test_partition_walk.py
+++ b/tests/gateway/turns/test_partition_walk.py
@@ -1,4 +1,4 @@
-"""Real owners over a store that loses answers and delays appends: promises to callers hold."""
+"""Callers get correct histories and budgets although the store loses answers and delays appends."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from quincespool.policy.answer_times import AnswerTimes
 from tests.gateway.turns.partition_walk import PartitionWalk
 
-# For a longer walk by hand, such as a million steps: QUINCESPOOL_WALK_STEPS=1000000.
+# QUINCESPOOL_WALK_STEPS sets the length of a walk that is started manually, such as 1000000.
 STEPS = int(os.environ.get("QUINCESPOOL_WALK_STEPS", "4000"))
 # Seeds 9, 134 and 196 exceed the budget if an owner accepts the start of a turn that it has not
 # admitted after it has allocated the rest of the budget to other turns.
 SEEDS = (1, 2, 3, 9, 134, 196)
-# With turns that continue while the store is unreachable, seeds 20, 33 and 45 exceed budget and one
-# turn if any program may have such turns at any owner.
+# With turns that continue while the store is unreachable, seeds 20, 33 and 45 exceed the budget by
+# more than one turn if any program may have such turns at any owner.
 RUNNING_ON_SEEDS = (1, 2, 20, 33, 45)
 
 
@@ -62,7 +62,7 @@
 async def test_the_walk_detects_unrecorded_turns_at_two_owners(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a program getting more tokens than its budget and one turn.
+    """Guards against a program exceeding its budget by more than one turn.
 
     Two owners crash one after the other, each with turns that have no durable record.
     """
@@ -90,7 +90,7 @@
 async def test_the_walk_detects_starts_accepted_without_a_check_of_the_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a program getting more tokens than its budget and one turn.
+    """Guards against a program exceeding its budget by more than one turn.
 
     A partition changes its owner while turns wait for their starts to be durable. The new owner
     admits other turns of the program, then gets the starts and must not append them without
--- a/tests/gateway/turns/test_programs.py
+++ b/tests/gateway/turns/test_programs.py
@@ -113,8 +113,8 @@
     async with GatewayCluster() as cluster:
         program = next(f"p{n}" for n in range(100) if _owns(cluster, "a", f"p{n}"))
         cluster.nodes["a"].store.knobs.down = True
-        # Assigned is not enough: until `b` has read the partitions, it relays turns to the former
-        # owner.
+        # The assignment alone is not enough: until `b` has read the partitions, it relays turns to
+        # the former owner.
         await cluster.until(lambda: _ready_count(cluster, "b") == 8)
         first, reply = await cluster.turn("b", program, body=b"one|")
         assert reply.status == 200
@@ -193,7 +193,7 @@
 
 
 async def test_a_turn_is_recorded_once_if_an_answer_of_the_store_is_lost() -> None:
-    """Failure: a turn is twice in the history, or its end is never sent.
+    """Failure: a turn appears twice in the history, or its end is never sent.
 
     The store does an append, but its answer is lost, and the daemon appends again. The sequence
     number lets the store recognize the second append as a repetition.
--- a/tests/gateway/turns/test_resumed_streams.py
+++ b/tests/gateway/turns/test_resumed_streams.py
@@ -46,7 +46,7 @@
 
 
 def _resumed_after(cluster: GatewayCluster, call_id: str) -> list[str]:
-    """Returns after which event each attempt of a call was to continue, sorted as texts."""
+    """Returns after which event each attempt of a call was to continue, sorted as text."""
     runs = [run for run in cluster.all_runs() if run.call_id == call_id]
     return sorted(run.headers.get("last-event-id", "") for run in runs)
 
--- a/tests/gateway/turns/test_turn_retries.py
+++ b/tests/gateway/turns/test_turn_retries.py
@@ -19,7 +19,7 @@
 def _attempts_after(
     retries: TurnRetries, *outcomes: AttemptOutcome, left_ms: float = LEFT_MS
 ) -> list[NextAttempt]:
-    """Returns the first attempt and the one after each outcome."""
+    """Returns the first attempt and the attempt after each outcome."""
     attempts = [retries.next_attempt(left_ms)]
     for outcome in outcomes:
         retries.record_outcome(outcome, attempts[-1].destination)
@@ -32,7 +32,7 @@
 
 
 def test_a_full_engine_is_retried_after_pauses_if_the_route_allows_one_engine_only() -> None:
-    """If refused, each turn of a burst uses up one of its few retries and is back no sooner."""
+    """A refused turn of a burst would use up one of its few retries and be sent again no sooner."""
     retries = TurnRetries(max_engines=1, may_rerun=False)
     attempts = _attempts_after(retries, *[AttemptOutcome.FULL] * (len(FULL_RETRY_PAUSES_MS) + 1))
     assert _destinations(attempts) == [
--- a/tests/gateway/turns/test_unrecorded_tokens.py
+++ b/tests/gateway/turns/test_unrecorded_tokens.py
@@ -42,7 +42,7 @@
 
 
 def test_only_recorded_programs_that_began_at_this_owner_get_unrecorded_tokens() -> None:
-    """Guards against a program getting more tokens than its budget and one turn.
+    """Guards against a program exceeding its budget by more than one turn.
 
     Two owners crash one after the other while the store is unreachable, each after a turn of which
     the next owner has no record.
