--- a/src/quincespool/gateway/accounts/limits.py
+++ b/src/quincespool/gateway/accounts/limits.py
@@ -54,23 +54,26 @@
     from quincespool.net.metrics import Metrics
 
 # A limiter answers within a round trip, on a busy host within some tens of milliseconds. After this
-# time the call goes on without an answer, so that it isn't delayed further.
+# time the call is decided on without an answer, so that it isn't delayed further.
 ANSWER_TIMEOUT_MS = 120
-# Time for which a limiter that has not answered gets no requests: each call would wait in vain.
+# Time for which no requests are sent to a limiter that has not answered: each call would wait for
+# the timeout.
 UNANSWERED_PAUSE_MS = 400
-# Most limiters to which one call sends a request: the first may answer that it no longer is one.
+# Maximum number of daemons from which a permit for one call is requested: the first may answer that
+# it is no longer the account's limiter.
 MAX_LIMITERS = 2
 # Length of a term of a daemon that acts as limiter without being the owner. Each new term starts
 # with the initial calls, since other daemons may have acted as limiter in the meantime.
 ACTING_TERM_MS = 10_000
 # Shares of what operators allow beyond a limit that are used for bursts larger than the account's
-# own, since programs make many calls in one second and then none. The rest is left for new limiters
-# that know nothing of the previous one, and for moments in which two daemons act as limiter.
+# own, since programs make many calls in one second and then none. The rest is kept for new limiters
+# that don't know how many calls the previous one has allowed, and for moments in which two daemons
+# act as limiter.
 SLACK_SHARE = 0.75
 OVERAGE_SHARE = 0.8
 LIMIT_STATUS = 429
-# Time after which a caller whose account's limiter does not answer may retry: by then there is
-# usually another limiter.
+# Time after which a caller whose account's limiter does not answer may retry: by then another
+# daemon has usually become the limiter.
 NO_LIMITER_RETRY_MS = 400
 
 
@@ -80,8 +83,8 @@
     Attributes:
       window_ms: Length of the window. In any window an account may run its rate times the length,
         plus its burst; that is its limit.
-      slack_calls: Calls by which an account may exceed its limit in a window.
-      overage_share: Share of the limit by which it may be exceeded in addition.
+      slack_calls: Number of calls by which an account may exceed its limit in a window.
+      overage_share: Share of its limit by which an account may exceed it in addition.
     """
 
     window_ms: int
@@ -104,7 +107,7 @@
 
 
 class AccountLimits:
-    """Requests permits for the calls at one daemon, and answers requests of other daemons."""
+    """Requests permits for the calls at one daemon, and answers other daemons' requests."""
 
     def __init__(
         self,
@@ -241,7 +244,7 @@
         return self._limiter.levels()
 
     async def _request(self, account: Account, request: PermitRequest) -> Verdict | None:
-        """Returns the verdict of the account's limiter, None if there is no answer."""
+        """Returns the verdict of the account's limiter, None if none is received."""
         for _ in range(MAX_LIMITERS):
             limiter = self._limiter_of(account.name)
             if limiter is None:
@@ -302,7 +305,10 @@
         return self._limiter.request(account.name, request, allowance, term=term, now_ms=now_ms())
 
     def _limiter_of(self, name: str) -> Daemon | LimiterTerm | None:
-        """Returns an account's limiter; the current term if it is this daemon; None if unknown."""
+        """Returns an account's limiter, None if unknown.
+
+        If this daemon is the limiter, its current term is returned.
+        """
         partition = partition_of(f"account {name}", self._partitions)
         owned = self._ownership.serving(partition)
         if owned is not None:
--- a/src/quincespool/gateway/backends/__init__.py
+++ b/src/quincespool/gateway/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: the table of those known, their health, connections and attempts."""
+"""Backend servers: the table of known servers, their health, connections and attempts."""
--- a/src/quincespool/gateway/backends/attempt.py
+++ b/src/quincespool/gateway/backends/attempt.py
@@ -35,12 +35,12 @@
 MAX_ANSWER_BYTES = 16_000_000
 BACKEND_FULL = "backend_full"
 BACKEND_REPLACED = "backend_replaced"
-# Time after a lost answer at which a connection is tried: by then a crashed process refuses it, and
-# a replacement, which takes seconds to start, isn't listening yet.
+# Time after a lost answer at which a new connection is tried: by then the host of a crashed process
+# refuses connections, and a replacement, which takes seconds to start, isn't listening yet.
 CRASH_CHECK_S = 0.1
 
-# A timer that fires later than this shows that this process is short of processor time: the answer
-# may have arrived and be unread in the socket.
+# A timer that fires more than this time late shows that this process is short of processor time:
+# the answer may have arrived and be unread in the socket.
 MAX_TIMER_DELAY_S = 0.03
 
 _crash_checks: set[asyncio.Task[None]] = set()
@@ -121,7 +121,7 @@
         """Connects and sends the call.
 
         Returns:
-          None if the call was sent, otherwise why it was not.
+          None if the call was sent, otherwise the reason why it was not.
         """
         context, entry = self._context, self.entry
         try:
@@ -163,7 +163,7 @@
         return await self._connection.next_event()
 
     async def head(self) -> AnswerHead | NotRun | AnswerLost:
-        """Returns the head of the answer, or why there is no valid one."""
+        """Returns the head of the answer, or the reason why no valid head was received."""
         event = await self.next_event()
         self._stop_overdue_timer()
         if isinstance(event, AnswerBroken):
@@ -231,7 +231,8 @@
             load=self._context.backends.in_flight.get(self.entry.backend_id, 0),
         )
         if status == 421:
-            # Another backend server has the address now: this one stopped and left its entry.
+            # Another backend server now listens at the address: the one of this entry has stopped
+            # without removing its entry.
             self._record_failure("replaced", unreachable=True)
             return NotRun(BACKEND_REPLACED, sent=True)
         return NotRun(BACKEND_FULL, sent=True)
@@ -253,13 +254,13 @@
             after_ms=now_ms() - self._started_ms,
             ejected=ejected,
         )
-        # A backend server that leaves stops by itself, with its calls: that is not a crash.
+        # A backend server that is leaving stops on purpose and ends its calls: that is not a crash.
         if event.closed and context.backends.accepts_calls(entry.incarnation):
             start_background_task(self._check_crash(), _crash_checks)
         return AnswerLost(event.detail)
 
     def _record_failure(self, reason: str, *, unreachable: bool = False) -> bool:
-        """Records a failure of the backend server; returns whether that ejects it."""
+        """Records a failure; returns whether the failure ejects the backend server."""
         context, entry = self._context, self.entry
         context.backend_reports.report_failure(entry, reason)
         return context.backends.record_failure(entry.backend_id, now_ms(), unreachable=unreachable)
@@ -283,7 +284,7 @@
             self._context.backend_reports.report_overdue(self.entry, late_ms)
 
     async def _check_crash(self) -> None:
-        """Checks whether the backend server crashed during the call, and announces it if so.
+        """Checks whether the backend server crashed during the call; if so, announces the crash.
 
         A lost answer alone does not show a crash: only a backend server that is down refuses new
         connections.
--- a/src/quincespool/gateway/backends/backend_table.py
+++ b/src/quincespool/gateway/backends/backend_table.py
@@ -35,10 +35,11 @@
     """The change that an entry makes to the table.
 
     Attributes:
-      UNCHANGED: None that matters to calls.
+      UNCHANGED: No change that affects calls.
       CHANGED: The backend server is new, leaves, or has another address.
       NEW_INCARNATION: The backend server has started again with the same id.
-      STALE: None: the entry is of an earlier incarnation, or not written by the backend server.
+      STALE: The entry is ignored: it is of an earlier incarnation, or the backend server did not
+        write it.
     """
 
     UNCHANGED = "nothing"
@@ -72,7 +73,7 @@
         self._last_start_ms: dict[str, int] = {}
 
     def put(self, entry: BackendEntry) -> EntryChange:
-        """Adds or replaces an entry; returns what it changes.
+        """Adds or replaces an entry; returns the change that this makes.
 
         Entries may arrive late, twice, or from an earlier incarnation; an entry of an earlier start
         never replaces one of a later start. All statistics of the earlier incarnation are dropped:
@@ -82,7 +83,7 @@
         backend_id = entry.backend_id
         last_start_ms = self._last_start_ms.get(backend_id)
         if last_start_ms is not None and entry.born_ms is None:
-            # Not written by the backend server, which always states its start.
+            # The backend server did not write this entry: its own entries state when it started.
             self._forget(backend_id)
             return EntryChange.STALE
         if (
@@ -106,7 +107,7 @@
         return EntryChange.UNCHANGED
 
     def discard(self, backend_id: str) -> None:
-        """Removes a backend server at once, since its key holds an entry that can't be read."""
+        """Removes a backend server at once, because the entry under its key can't be parsed."""
         self._forget(backend_id)
 
     def remove(self, backend_id: str, *, now_ms: int, grace_until_ms: int) -> None:
@@ -127,7 +128,7 @@
         self._forget(backend_id)
 
     def retain(self, backend_ids: Iterable[str], *, now_ms: int, grace_until_ms: int) -> None:
-        """Removes all entries but those of the given ids, which are all that the store lists."""
+        """Removes all entries except those of the given ids, which are all ids in the store."""
         kept = set(backend_ids)
         for backend_id in [one for one in self.entries if one not in kept]:
             self.remove(backend_id, now_ms=now_ms, grace_until_ms=grace_until_ms)
@@ -163,7 +164,10 @@
             self._speeds.observe(entry.service, answer)
 
     def take_speed_to_announce(self) -> SpeedSample | None:
-        """Returns an engine speed to send to the other daemons, once; None if none is due."""
+        """Returns an engine speed to send to the other daemons; None if none is due.
+
+        Each speed is returned only once.
+        """
         return self._speeds.take_reportable()
 
     def record_reported_speed(self, answer: SpeedSample) -> None:
@@ -172,7 +176,7 @@
             self._speeds.add_sample(answer)
 
     def slowness_by_engine(self) -> dict[str, float]:
-        """Returns each engine's time per event, relative to the usual one, for dumps."""
+        """Returns each engine's time per event as a ratio to the usual time, for dumps."""
         return {
             one.backend_id: round(self._speeds.slowness(one.service, one.backend_id), 2)
             for one in self.entries.values()
@@ -188,7 +192,7 @@
         return self._own_failures.record_failure(backend_id, now_ms, unreachable=unreachable)
 
     def should_report_failure(self, backend_id: str, reporter: str, now_ms: int) -> bool:
-        """Returns whether a report of this daemon would make a difference at the others."""
+        """Returns whether the other daemons would count one more report of this daemon."""
         return self._shared_failures.should_report(backend_id, reporter, now_ms)
 
     def record_reported_failure(
@@ -212,17 +216,17 @@
     ) -> bool:
         """Records that an answer to a daemon, this one or another, has not begun in time.
 
-        It counts as a long latency, not as a failure: if all daemons ejected slow backend servers
-        at once, the remaining ones would be overloaded and ejected next, and so on.
+        The delay counts as a long latency, not as a failure: if all daemons ejected slow backend
+        servers at once, the remaining ones would be overloaded and ejected next, and so on.
 
         Args:
-          incarnation: Of the backend server.
+          incarnation: The incarnation of the backend server.
           reporter: The id of the daemon.
           late_ms: Milliseconds since the call was sent.
           now_ms: Steady clock.
 
         Returns:
-          Whether the record was accepted, so that the other daemons need it too.
+          Whether the delay was counted; if so, the other daemons need a report of it too.
         """
         if self._find_entry(incarnation) is None:
             return False
@@ -238,7 +242,7 @@
         return entry is not None and not entry.leaving
 
     def latency_ms(self, backend_id: str) -> float:
-        """Returns the mean milliseconds in which recent answers began; 0 if there were none."""
+        """Returns the mean milliseconds to the start of recent answers; 0 if there are none."""
         return self._latencies.mean_ms(backend_id)
 
     def choose(
@@ -250,7 +254,7 @@
         prefer: BackendIncarnation | None = None,
         connected: frozenset[str] = frozenset(),
     ) -> BackendEntry | None:
-        """Returns the backend server to send a call to, None if there is none.
+        """Returns the backend server to send a call to, None if none may be used.
 
         Args:
           service: The service of the call.
@@ -278,7 +282,7 @@
         return self.entries[chosen_id]
 
     def _find_entry(self, incarnation: BackendIncarnation) -> BackendEntry | None:
-        """Returns the entry of an incarnation, None if it has ended or is not known yet."""
+        """Returns the entry of an incarnation, None if that has ended or is not known yet."""
         entry = self.entries.get(incarnation.backend_id)
         return entry if entry is not None and entry.incarnation == incarnation else None
 
--- a/src/quincespool/gateway/backends/crashes.py
+++ b/src/quincespool/gateway/backends/crashes.py
@@ -22,7 +22,7 @@
 
 
 def fingerprint(call: Call) -> str:
-    """Returns a digest of the request's content, which is the same whatever its id is."""
+    """Returns a digest of the request's content, which does not depend on the request's id."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (call.method, call.host, call.target):
         digest.update(part.encode() + b"\0")
--- a/src/quincespool/gateway/backends/exchange.py
+++ b/src/quincespool/gateway/backends/exchange.py
@@ -21,10 +21,11 @@
 # after a second. No request has been sent yet, so the call can go to another backend server; each
 # 100 ms of waiting before that delays it.
 CONNECT_TIMEOUT_S = 0.3
-# Sent data that stays unacknowledged for longer shows that the host is down or the link is cut.
+# Sent data that stays unacknowledged for longer than this shows that the host is down or the link
+# is cut.
 UNACKNOWLEDGED_MS = 1_500
-# Assumed for an engine that does not state its idle timeout: none closes an idle connection earlier
-# than after a few seconds.
+# Assumed for an engine that does not state its idle timeout: no engine closes a connection that has
+# been idle for less than a few seconds.
 DEFAULT_IDLE_TIMEOUT_S = 2.0
 # A connection is no longer used from this long before the backend server would close it, since a
 # request that is sent while it closes ends with the verdict "may have run".
@@ -78,7 +79,7 @@
     """An HTTP connection to a backend server that carries one request at a time.
 
     Attributes:
-      idle_until_s: Event loop time until which it may be used again.
+      idle_until_s: Event loop time until which the idle connection may be used again.
       last_received_s: Event loop time at which data was last received or the last request was
         sent, whichever is later.
     """
@@ -136,14 +137,14 @@
         """Sends a request.
 
         Args:
-          method: As the caller sent it.
-          target: As the caller sent it.
-          headers: Without those that state the length of the body.
+          method: The HTTP method that the caller sent.
+          target: The request target that the caller sent.
+          headers: The headers, except those that state the length of the body.
           body: The complete body.
           matches_request: Returns whether an answer with the given headers belongs to this request.
 
         Raises:
-          ConnectError: If the request can't be sent; then no part of it was.
+          ConnectError: If the request can't be sent. No part of it was sent in this case.
         """
         if not self.is_reusable or self._transport is None:
             raise ConnectError("the connection was closed before the request was sent")
@@ -169,7 +170,7 @@
         """Sets how long the connection may stay idle.
 
         Args:
-          idle_s: As stated by the backend server; None if it did not state it.
+          idle_s: The timeout in seconds that the backend server stated; None if it stated none.
         """
         timeout_s = (
             DEFAULT_IDLE_TIMEOUT_S if idle_s is None else min(idle_s, 4 * DEFAULT_IDLE_TIMEOUT_S)
@@ -257,13 +258,13 @@
         if reusable and not unsent and not extra and not self._closed:
             self._http.start_next_cycle()
         else:
-            # Data after the answer, or a request body that the backend server has not read: what
-            # comes next on this connection can't be matched to a request.
+            # Data follows the answer, or the backend server has not read the whole request body:
+            # further data on this connection can't be matched to a request.
             self.close()
         self._events.put_nowait(AnswerEnd())
 
     def _skip_stale_answer(self) -> None:
-        """Resets the parser after an answer to an earlier request, to read the one that is due."""
+        """Resets the parser after an answer to an earlier request, to read the awaited answer."""
         rest = self._http.trailing_data[0]
         self._http = h11.Connection(h11.CLIENT)
         assert self._request is not None
--- a/src/quincespool/gateway/backends/pool.py
+++ b/src/quincespool/gateway/backends/pool.py
@@ -22,7 +22,7 @@
         self._on_open = on_open
 
     async def acquire(self, entry: BackendEntry) -> BackendConnection:
-        """Returns a connection for exclusive use, an idle one or else a new one.
+        """Returns a connection for exclusive use: an idle one if available, otherwise a new one.
 
         Raises:
           ConnectError: If no connection can be made.
@@ -54,7 +54,7 @@
             connection.abort_answer(detail)
 
     def silent_for_s(self) -> dict[str, float]:
-        """Returns for how many seconds each backend server with an answer due has sent nothing."""
+        """Returns the seconds since each backend server with an answer due last sent data."""
         now_s = asyncio.get_running_loop().time()
         received_s = {
             backend_id: [one.last_received_s for one in busy if one.is_awaiting_answer]
@@ -72,7 +72,7 @@
         )
 
     def close_idle(self, backend_id: str) -> None:
-        """Closes the idle connections to a backend server that has stopped or may have."""
+        """Closes the idle connections to a backend server that has or may have stopped."""
         for connection in self._idle.pop(backend_id, []):
             connection.close()
 
--- a/src/quincespool/gateway/backends/quiet.py
+++ b/src/quincespool/gateway/backends/quiet.py
@@ -1,4 +1,4 @@
-"""Checks whether backend servers that owe answers and send nothing are still reachable."""
+"""Checks whether backend servers that send no data while answers are due are reachable."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 PROBE_ATTEMPTS = 2
 # A host within a region answers a SYN packet within some milliseconds.
 PROBE_TIMEOUT_S = 0.1
-# An attempt that takes longer shows that this process is short of processor time, not that the host
-# is down: the answer may have arrived and be unread in the socket.
+# An attempt that takes longer than this shows that this process is short of processor time, not
+# that the host is down: the answer may have arrived and be unread in the socket.
 MAX_PROBE_DURATION_S = 1.5 * PROBE_TIMEOUT_S
 # Least time between two probes of a backend server. One that is reachable may be quiet because it
 # reads a long prompt, and each probe costs a connection.
@@ -32,9 +32,9 @@
 class QuietBackendProbe:
     """Opens new connections to quiet backend servers, and ends answers due from unreachable ones.
 
-    Without it, the connections of an engine that loses power stay open, and each turn there ends
-    only when its caller disconnects. The symptom is the outcome `caller_gone`, after two seconds
-    or more, for turns of one backend server.
+    Without these probes, the connections of an engine that loses power stay open, and each turn at
+    that engine ends only when its caller disconnects. The symptom is the outcome `caller_gone`,
+    after two seconds or more, for turns of one backend server.
     """
 
     def __init__(self, context: AttemptContext) -> None:
@@ -66,7 +66,7 @@
             for backend_id, silent_s in self._context.pool.silent_for_s().items()
             if backend_id not in self._probes and backend_id not in self._next_probe_s
         ]
-        # A call that is sent in the meantime may itself be quiet for as long as this minimum.
+        # A call that is sent in the meantime may itself wait for this minimum without any data.
         return max(0, int(min(due_ms, default=BACKEND_SILENCE_MS)))
 
     def _start_probe(self, entry: BackendEntry, silent_s: float) -> None:
@@ -93,7 +93,8 @@
     async def _is_silent(self, entry: BackendEntry) -> bool:
         """Returns whether the host does not answer.
 
-        A host that refuses the connection is up, and resets the connections with answers due.
+        A host that refuses the connection is running, and itself resets the connections with
+        answers due.
         """
         connection = BackendConnection()
         began_s = asyncio.get_running_loop().time()
--- a/src/quincespool/gateway/backends/reports.py
+++ b/src/quincespool/gateway/backends/reports.py
@@ -1,7 +1,7 @@
 """Reports failed calls at a backend server to the other daemons, and applies their reports.
 
-Without it, each daemon loses calls of its own at an engine that is down before it avoids that
-engine. The symptom is the log line `backend silent` for one backend server at one daemon after
+Without these reports, each daemon loses calls of its own at an engine that is down before it avoids
+that engine. The symptom is the log line `backend silent` for one backend server at one daemon after
 another, for as long as the backend server's entry exists.
 """
 
@@ -26,7 +26,7 @@
 
 
 class BackendReports:
-    """Sends the reports of one daemon and applies those of the others."""
+    """Sends the reports of one daemon and applies the reports of other daemons."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._send = send
 
     def report_failure(self, entry: BackendEntry, reason: str) -> None:
-        """Records a failed call of this daemon, and reports it to the others if they need it.
+        """Records a failed call of this daemon; reports it if the other daemons would count it.
 
         Args:
           entry: The backend server.
-          reason: For the log and metrics.
+          reason: The reason to state in the log and the metrics.
         """
         should_report = self._backends.should_report_failure(
             entry.backend_id, self._member_id, now_ms()
@@ -58,7 +58,7 @@
             self._send_report(entry, None, reason)
 
     def report_overdue(self, entry: BackendEntry, late_ms: int) -> None:
-        """Records an answer that has not begun in time, and reports it if the others need it.
+        """Records an answer that has not begun in time; if counted, reports it to other daemons.
 
         Args:
           entry: The backend server.
--- a/src/quincespool/limits/account_limiter.py
+++ b/src/quincespool/limits/account_limiter.py
@@ -19,17 +19,17 @@
     from quincespool.limits.admission_order import AdmissionOrder
     from quincespool.limits.bucket import Allowance
 
-# Calls that a new limiter allows while no daemon has reported what the previous limiter had left.
-# Two such limiters in one window stay within what operators allow beyond the limit.
+# Calls that a new limiter allows while no daemon has reported how many calls the previous limiter
+# had left. Two such limiters in one window stay within what operators allow beyond the limit.
 INITIAL_CALLS = 2.0
-# A call of a program in progress is allowed at most this long in advance, and waits. If it were
-# refused, it would be retried no sooner, and the program would use up one of its few attempts. New
-# programs don't wait: they are refused with the time after which to retry.
+# A call of a program in progress is allowed at most this long in advance, and waits for that time.
+# If it were refused, it would be retried no sooner, and the program would use up one of its few
+# attempts. New programs don't wait: they are refused with the time after which to retry.
 MAX_WAIT_MS = 200
 # Calls that a previous limiter has allowed still start for this long in the next term: those that
 # wait, and those allowed before the previous limiter learned of the new one.
 HANDOVER_MS = 500
-# Callers are told to retry no sooner: a refusal costs both sides a round trip.
+# Minimum time after which callers are told to retry: a refusal costs both sides a round trip.
 MIN_RETRY_MS = 100
 MAX_RETRY_MS = 10_000
 # Most accounts that one daemon remembers, the most recently requested ones; more than the largest
@@ -44,10 +44,10 @@
 
     Attributes:
       program_id: Empty for a call that belongs to no program.
-      kind: The kind of the program, by which its calls are estimated.
+      kind: The kind of the program, from which the number of its calls is estimated.
       may_begin: Whether the call may be the first of its program.
       reported_calls: The level of the account's bucket that another limiter last reported to the
-        requesting daemon, within a window; None if none has.
+        requesting daemon, within a window; None without such a report.
     """
 
     program_id: str
@@ -63,7 +63,7 @@
 
     Attributes:
       number: Unique among the terms of this daemon.
-      since_ms: Steady clock of the beginning of the term, or of any later moment.
+      since_ms: Steady clock at the beginning of the term, or at any later moment of it.
     """
 
     number: int
@@ -97,14 +97,15 @@
     """One account at its limiter.
 
     Attributes:
-      bucket: What the account may use as far as this limiter knows. In the first window of a term,
-        at most what others have reported.
-      own_bucket: What the account might use if it had used nothing before the term. It is in force
-        after the first window, when all calls of earlier terms are outside any window.
+      bucket: The calls that the account may make as far as this limiter knows. In the first window
+        of a term, at most as many as other daemons have reported.
+      own_bucket: The calls that the account might make if it had made none before the term. This
+        bucket is in force after the first window, when all calls of earlier terms are outside any
+        window.
       term: The current term.
-      least_reported_calls: The lowest level that others have reported in this term; None if nobody
-        has yet.
-      order: Decides which programs may begin.
+      least_reported_calls: The lowest level that other daemons have reported in this term; None
+        before the first report.
+      order: The object that decides which programs may begin.
     """
 
     bucket: Bucket
@@ -172,7 +173,7 @@
         return Grant(wait_ms, max(0, int(left_calls)), is_near_limit)
 
     def return_call(self, name: str, allowance: Allowance) -> None:
-        """Returns a call to the bucket that was allowed but has reached no backend server."""
+        """Puts a call that was allowed, but that no backend server has run, back in the bucket."""
         account = self._accounts.get(name)
         if account is not None:
             account = _with_calls(account, 1.0)
@@ -194,14 +195,14 @@
         own_bucket = known.own_bucket.refilled(allowance, now_ms)
         bucket = known.bucket.refilled(allowance, now_ms)
         if not self._is_early(known.term, now_ms):
-            # The calls that others allowed before the term are no longer in any window.
+            # The calls that other daemons allowed before the term are no longer in any window.
             bucket = own_bucket
         account = known._replace(bucket=bucket, own_bucket=own_bucket)
         put_newest(self._accounts, name, account, most=MAX_ACCOUNTS)
         return account
 
     def _is_early(self, term: LimiterTerm, now_ms: int) -> bool:
-        """Returns whether the window still includes calls that others allowed before the term."""
+        """Returns whether the window may include other daemons' calls from before the term."""
         return now_ms - term.since_ms <= self._window_ms + HANDOVER_MS
 
     def _begin_term(
@@ -220,10 +221,10 @@
 
 
 def _with_reported_calls(account: _Account, reported_calls: int, allowance: Allowance) -> _Account:
-    """Returns the account with a level applied that the previous limiter reported to a daemon.
+    """Applies a level that the previous limiter reported to a daemon; returns the account.
 
     The lowest reported level counts: higher ones were reported earlier and are out of date. Many
-    daemons send requests for an account at its limit, and all of them got a recent report.
+    daemons send requests for an account at its limit, and all of them have received a recent level.
     """
     before = INITIAL_CALLS if account.least_reported_calls is None else account.least_reported_calls
     if account.least_reported_calls is not None and reported_calls >= account.least_reported_calls:
--- a/src/quincespool/limits/admission_order.py
+++ b/src/quincespool/limits/admission_order.py
@@ -1,6 +1,6 @@
 """Decides which programs may begin when an account sends more calls than its limit allows.
 
-This is for accounts that send many times their usual load. A program is useful only if it
+The order matters for accounts that send many times their usual load. A program is useful only if it
 completes. If calls were served first come, first served, nearly all programs of such an account
 would have one call refused by the limit, and the work of their other calls would be wasted. Also,
 long programs that operators rank low would keep out short ones that are more urgent, since calls
@@ -25,12 +25,13 @@
     from quincespool.policy.program_shapes import ProgramKind
     from quincespool.policy.urgency import Rank
 
-# Assumed shape of a program until the first one has been seen to its end.
+# Assumed shape of a program until the first program has been observed until its end.
 DEFAULT_PROGRAM_SHAPE = Shape(calls=12.0, duration_ms=2_000.0)
 # Calls that are reserved for a program that has already made more calls than usual.
 MIN_REMAINING_CALLS = 4.0
 # Largest share of an account's rate that is reserved for programs of more urgent ranks, if that
-# many of them arrive. The rest is reserved for the others, however many urgent ones arrive.
+# many of them arrive. The rest is reserved for less urgent programs, however many urgent ones
+# arrive.
 MAX_RESERVED_SHARE = 0.75
 
 
@@ -77,7 +78,7 @@
         committed = self._committed_calls(usual.duration_ms, now_ms)
         usual_s = usual.duration_ms / 1000
         supply = bucket.level_calls + allowance.rate_per_s * usual_s
-        # An account whose limit is below a usual program's calls may still begin one when idle.
+        # An idle account may begin a program even if its limit is below the usual number of calls.
         need = min(usual.calls, supply)
         reserved = self._reserved_calls(kind.rank, usual_s, committed, allowance, now_ms)
         return max(0.0, sum(committed.values()) + need + reserved - supply)
@@ -99,7 +100,7 @@
         self._shapes.record_call(program_id, kind, now_ms)
 
     def _committed_calls(self, within_ms: float, now_ms: int) -> defaultdict[Rank, float]:
-        """Returns the calls that programs in progress will likely make within a time, by rank."""
+        """Returns the calls that programs in progress will likely make in a period, by rank."""
         committed: defaultdict[Rank, float] = defaultdict(float)
         for (kind, calls), programs in self._shapes.in_progress(now_ms):
             usual = self._shapes.typical_shape(kind)
@@ -120,7 +121,7 @@
 
         Args:
           rank: Rank of the program that asks to begin.
-          within_s: Length of the time ahead for which calls are estimated.
+          within_s: Length in seconds of the coming period for which calls are estimated.
           committed: Calls that programs in progress still need, by rank.
           allowance: The account's limit.
           now_ms: Steady clock.
@@ -137,7 +138,7 @@
         return reserved
 
     def _wanted_calls_per_s(self, now_ms: int) -> defaultdict[Rank, float]:
-        """Returns the calls per second that programs which ask to begin need, by rank."""
+        """Returns the calls per second, by rank, that programs that ask to begin need."""
         wanted: defaultdict[Rank, float] = defaultdict(float)
         for kind, programs_per_s in self._demand.programs_per_s(now_ms):
             wanted[kind.rank] += programs_per_s * self._shapes.typical_shape(kind).calls
--- a/src/quincespool/limits/bucket.py
+++ b/src/quincespool/limits/bucket.py
@@ -20,12 +20,12 @@
 class Bucket(NamedTuple):
     """The state of one account's bucket.
 
-    In any time t it allows no more calls than its capacity plus `rate_per_s * t`. That holds also
-    if the bucket is emptied or its level is lowered at any moment, as a new limiter does that
-    doesn't know how many calls the previous one has allowed.
+    In any time t the bucket allows no more calls than its capacity plus `rate_per_s * t`. That
+    holds also if the bucket is emptied or its level is lowered at any moment. A new limiter lowers
+    the level because it doesn't know how many calls the previous one has allowed.
 
     Attributes:
-      level_calls: Calls in the bucket; below zero while calls wait that were allowed in advance.
+      level_calls: Calls in the bucket; negative while calls that were allowed in advance wait.
       at_ms: Steady clock at which the level was computed.
     """
 
--- a/src/quincespool/limits/demand.py
+++ b/src/quincespool/limits/demand.py
@@ -1,4 +1,4 @@
-"""Counts how many programs of each kind arrive to begin, including those that are refused."""
+"""Counts how many programs of each kind ask to begin, including those that are refused."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         put_newest(self._refused_ms, kind, now_ms, most=MAX_KINDS)
 
     def programs_per_s(self, now_ms: int) -> Iterator[tuple[ProgramKind, float]]:
-        """Yields the arrivals per second of each kind of which a program was refused lately.
+        """Yields the arrivals per second of each kind of which a program was recently refused.
 
         Kinds whose programs all begin are left out: no calls need to be reserved for them.
         """
--- a/src/quincespool/limits/recent_permits.py
+++ b/src/quincespool/limits/recent_permits.py
@@ -30,13 +30,13 @@
 
 
 class _AccountState(NamedTuple):
-    """What is known of one account.
+    """The state of one account at this daemon.
 
     Attributes:
       bucket: Calls that this daemon may still allow without an answer.
-      near_limit_at_ms: Steady clock of the last verdict, if by it the account is near its limit;
-        otherwise None.
-      left_calls: Calls that the account had left by the last verdict.
+      near_limit_at_ms: Steady clock of the last verdict, if that states that the account is near
+        its limit; otherwise None.
+      left_calls: Calls that the account had left according to the last verdict.
       limiter_id: The daemon that gave the last verdict.
       verdict_at_ms: Steady clock of the last verdict; None if there was none.
     """
@@ -66,7 +66,7 @@
         self._put(name, known._replace(limiter_id=limiter_id, verdict_at_ms=now_ms))
 
     def reported_calls(self, name: str, limiter_id: str, now_ms: int) -> int | None:
-        """Returns the calls that an account had left by the last verdict, to report to a limiter.
+        """Returns the calls left to an account at the last verdict, to report to a limiter.
 
         Args:
           name: Name of the account.
--- a/tests/gateway/accounts/__init__.py
+++ b/tests/gateway/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's accounts."""
+"""Tests of the limits and keys of client accounts at the gateway."""
--- a/tests/gateway/accounts/test_accounts.py
+++ b/tests/gateway/accounts/test_accounts.py
@@ -89,8 +89,8 @@
 async def test_a_turn_of_another_account_is_detected_without_the_store() -> None:
     """Turns that name a turn of another account must cause no calls to the store.
 
-    The fault occurs if it is not taken for a final answer that another account has the turn: all
-    owners then check with the store, a round of all partitions for each such turn.
+    The fault occurs if the answer that another account has the turn is not treated as final: all
+    owners then check with the store, which costs a round of all partitions for each such turn.
     """
     async with GatewayCluster() as cluster:
         cluster.configure(2, accounts=_accounts())
--- a/tests/gateway/accounts/test_limits.py
+++ b/tests/gateway/accounts/test_limits.py
@@ -164,7 +164,7 @@
 
 
 async def test_a_waiting_call_whose_caller_disconnects_is_returned() -> None:
-    """Otherwise callers that time out would use up their account's limit."""
+    """Callers that time out while their calls wait must not use up their account's limit."""
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=10, burst=1)
         limiter_name = _limiter_name(cluster)
@@ -179,7 +179,7 @@
 
 
 async def test_the_owner_of_a_program_knows_that_its_account_has_used_most_of_its_limit() -> None:
-    """Where engines are full, calls of such an account are refused before those of others."""
+    """At full engines, calls of an account near its limit are refused before other calls."""
     async with GatewayCluster(2) as cluster:
         await _configure(cluster, 2, rate_per_s=0.1)
         near_limit: list[bool] = []
@@ -209,7 +209,7 @@
             cut_off._members.remove(peer)
             cut_off._members.put(_stopped_daemon(peer), -1_000_000)
         assert _limits(cluster, "a")._limiter_of("north") is None
-        # One call, and the daemon's share of the rate.
+        # The daemon allows one call at once, and further calls at its share of the rate.
         replies = await _calls(cluster, "a", 5)
         assert _served(replies) == 1
         assert {reply.status for reply in replies} == {200, 503}
--- a/tests/gateway/backends/__init__.py
+++ b/tests/gateway/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's backends."""
+"""Tests of the gateway's backend servers."""
--- a/tests/gateway/backends/test_backend_table.py
+++ b/tests/gateway/backends/test_backend_table.py
@@ -69,10 +69,10 @@
 
 
 def test_an_engine_whose_answers_begin_late_counts_as_busy_with_calls_of_others() -> None:
-    """A daemon must not go on sending calls to an engine that is full with calls of others.
+    """A daemon must not keep sending calls to an engine full of calls of other daemons.
 
     Answers begin after 40 ms, at one engine after 400 ms; this daemon has no call in progress. The
-    fault occurs if only own calls and the reports of others count as load.
+    fault occurs if only own calls and the reports of other daemons count as load.
     """
     table = _make_table("e1", "e2")
     for _ in range(10):
@@ -198,7 +198,7 @@
 def test_the_chosen_backend_server_always_accepts_calls(
     steps: list[tuple[str, int, int]], excluded: frozenset[int]
 ) -> None:
-    """Whichever failed, left or were excluded; and one is chosen if any accepts calls."""
+    """One that accepts calls is chosen if any is left, whichever failed, left or were excluded."""
     table = _make_table()
     exclude = frozenset(f"e{number}" for number in excluded)
     for kind, number, now_ms in steps:
@@ -224,7 +224,7 @@
 
 
 def test_an_engine_that_other_daemons_report_is_ejected_until_it_starts_again() -> None:
-    """Each daemon must not lose turns of its own at an engine that others know to be down.
+    """A daemon must not lose turns at an engine that other daemons know to be down.
 
     An engine goes down, and calls of two other daemons fail there; it starts again with the same
     id. The fault occurs if a daemon uses only its own calls, of which each of hundreds of daemons
--- a/tests/gateway/backends/test_engine_lives.py
+++ b/tests/gateway/backends/test_engine_lives.py
@@ -27,7 +27,7 @@
 
     An engine loses power with a turn in progress; its connection stays open and nothing is received
     on it; the engine starts again with the same id. The fault occurs if the connection is treated
-    as one to the process that answers now.
+    as a connection to the new process.
     """
     async with GatewayCluster(1) as cluster:
         del cluster.engines["e2"]
--- a/tests/gateway/backends/test_quiet.py
+++ b/tests/gateway/backends/test_quiet.py
@@ -20,7 +20,7 @@
 # Long enough that nothing but the tested behaviour can end a turn.
 SILENT_GAP_MS = 20_000
 LONG_PROMPT_S = 1.2
-# Connections, more than the queue of the listener takes.
+# Number of connections; more than fit into the queue of the listener.
 QUEUED = 8
 
 
--- a/tests/limits/test_account_limiter.py
+++ b/tests/limits/test_account_limiter.py
@@ -78,7 +78,7 @@
 def test_a_daemon_that_is_the_limiter_again_starts_with_the_initial_calls() -> None:
     limiter = _make_limiter()
     assert _waited(limiter, now_ms=0) == 0
-    # The bucket of this daemon is full again, but another daemon was the limiter in between.
+    # The bucket of this daemon is full again, but another daemon was the limiter meanwhile.
     waiting = MAX_WAIT_MS / 1000 * ALLOWANCE.rate_per_s
     assert _drain(limiter, term=LimiterTerm(2, 60_000), now_ms=60_000) == INITIAL_CALLS + waiting
 
@@ -183,7 +183,7 @@
             window_ms = granted[-1] - from_ms
             if window_ms > WINDOW_MS:
                 continue
-            # Calls that wait at the previous limiter run after the move.
+            # Calls that the previous limiter has allowed in advance run after the limiter changes.
             since_ms = from_ms - MAX_WAIT_MS
             limiters = sum(since_ms <= moved_ms for moved_ms in self.moved_ms)
             most = 20 + 10 * (window_ms + MAX_WAIT_MS) / 1000 + INITIAL_CALLS * limiters
--- a/tests/limits/test_admission_order.py
+++ b/tests/limits/test_admission_order.py
@@ -119,7 +119,7 @@
 
 
 def test_the_least_urgent_programs_are_not_shut_out() -> None:
-    """The more urgent programs alone arrive at six times the limit."""
+    """The more urgent programs alone need six times the calls that the limit allows."""
     served = _serve(make_started_programs_first, {SHORT: 24.0, LONG: 1.2}, seconds=20)
 
     rest = 20 * ALLOWANCE.rate_per_s * (1 - MAX_RESERVED_SHARE) / KIND_CALLS[LONG.name]
@@ -128,7 +128,7 @@
 
 
 def test_an_account_below_its_limit_loses_nothing() -> None:
-    """Programs arrive at random at four tenths of the limit, some of them close together."""
+    """Programs that need four tenths of the limit arrive at random, some close together."""
     offered = _serve(make_first_come_first_served, {KIND: 1.0}, seconds=20)
     assert _serve(make_started_programs_first, {KIND: 1.0}, seconds=20) == offered
 
@@ -149,7 +149,7 @@
         order.missing_calls(KIND, Bucket(40, 0), ALLOWANCE, number * 10_000 + 5_000)
 
     order.record_call("p", KIND, 5_000_000)
-    # Enough for one more program of three calls; not for one of twelve, as assumed at first.
+    # Enough for one more program of three calls; not for one of twelve, the initial assumption.
     room = MIN_REMAINING_CALLS + 3
     assert DEFAULT_PROGRAM_SHAPE.calls > 6
     assert order.missing_calls(KIND, Bucket(room, 0), Allowance(0.1, 40), 5_000_000) == 0
--- a/tests/limits/test_limiter_walk.py
+++ b/tests/limits/test_limiter_walk.py
@@ -34,7 +34,7 @@
 
 
 class _Walk:
-    """One account. Calls that are returned have not run and don't count."""
+    """A random walk of one account. Returned calls have not run and don't count."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -88,7 +88,7 @@
             self.ran.popleft()
         while self.moved_ms and self.moved_ms[0] < since_ms - MAX_WAIT_MS:
             self.moved_ms.popleft()
-        # The limit in force when the window began is still counted.
+        # The limit that was in force at the beginning of the window is kept.
         while len(self.allowed) > 1 and self.allowed[1][0] < since_ms - MAX_WAIT_MS:
             self.allowed.popleft()
         in_force = [allowance for _, allowance in self.allowed]
