--- a/src/quincespool/gateway/__init__.py
+++ b/src/quincespool/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: serves model calls that name the turn of their program that they continue."""
+"""The gateway: serves model calls; a call names the earlier turn that it continues."""
--- a/src/quincespool/gateway/callers/caller_limits.py
+++ b/src/quincespool/gateway/callers/caller_limits.py
@@ -11,9 +11,9 @@
     from quincespool.gateway.model import CallerLimits
 
 # Callers close idle connections a little before the configured limit. With this margin the daemon
-# closes them later than they do.
+# closes them later than the callers do.
 IDLE_MARGIN_MS = 2_000
-# A caller that just keeps to the limit counts from when it sends, which is before the data arrives.
+# A caller that just meets the limit measures from when it sends, which is before the data arrives.
 HEAD_MARGIN_MS = 500
 
 
--- a/src/quincespool/gateway/callers/plain_calls.py
+++ b/src/quincespool/gateway/callers/plain_calls.py
@@ -21,21 +21,22 @@
     from quincespool.gateway.model import Call
     from quincespool.gateway.model import Decision
 
-# Bounds the backend servers tried that are unreachable or refuse the call; each costs a round trip.
+# Maximum number of tried backend servers that are unreachable or refuse the call; each one costs a
+# round trip.
 MAX_REFUSALS = 4
-# When all backend servers are full, a slot gets free after about one call; callers are told to
+# When all backend servers are full, a slot becomes free after about one call; callers are told to
 # retry after this time.
 FULL_RETRY_MS = 200
 NO_BACKEND_RETRY_MS = 400
 # A backend server that has not answered an idempotent call within this share of the remaining time
-# is not expected to; the rest is enough for another attempt.
+# is not expected to answer; the remaining time is enough for another attempt.
 FIRST_ATTEMPT_SHARE = 0.5
-# Subtracted from the deadline that the backend server gets: time for the answer to travel back.
+# Subtracted from the deadline that is sent to the backend server: transit time of the answer.
 ANSWER_TRIP_MS = 10
 
 
 class PlainCallHandler:
-    """Sends plain calls to backend servers, and repeats idempotent ones that failed."""
+    """Sends plain calls to backend servers, and retries idempotent calls that failed."""
 
     def __init__(self, context: AttemptContext) -> None:
         self._context = context
--- a/src/quincespool/gateway/callers/request_handler.py
+++ b/src/quincespool/gateway/callers/request_handler.py
@@ -105,8 +105,8 @@
     ) -> str:
         """Answers a routed call; returns the id of the daemon that served it, if it is a turn.
 
-        A turn is served by the owner of its program. Whether its account's limit admits it is
-        checked here, as for all calls.
+        A turn is served by the owner of its program. Its account's limit is checked at this daemon,
+        as for all calls.
         """
         if self._context.crashes.is_refused(fingerprint(call), now_ms()):
             reply.refuse(not_run("crashes_backends"))
@@ -237,7 +237,7 @@
         self.outcome = refusal.reason
         self.verdict = refusal.verdict
         if self.status:
-            # The caller must not take what it has received for a complete answer.
+            # The caller must not mistake the part that it has received for a complete answer.
             self._connection.abort()
             return
         self.status = refusal.status
--- a/src/quincespool/gateway/callers/routes.py
+++ b/src/quincespool/gateway/callers/routes.py
@@ -26,7 +26,7 @@
     from quincespool.gateway.model import Route
 
 # A daemon that has just started reads its configuration within some tens of milliseconds. While the
-# store is unreachable, callers should come back later, as they make only a few attempts.
+# store is unreachable, callers should wait longer before a retry, as they make only a few attempts.
 UNCONFIGURED_RETRY_MS = 100
 STORE_AWAY_RETRY_MS = 1_000
 
@@ -36,7 +36,7 @@
 
     Attributes:
       configuration: Current configuration; None before the first one.
-      configured: Set when there is a configuration.
+      configured: Set when the first configuration is adopted.
     """
 
     def __init__(self, *, is_store_responsive: Callable[[], bool]) -> None:
@@ -65,7 +65,7 @@
         return True
 
     def account(self, name: str) -> Account | None:
-        """Returns an account of the current configuration; None if it has none of that name."""
+        """Returns an account of the current configuration; None if no account has that name."""
         configuration = self.configuration
         if configuration is None or configuration.accounts is None:
             return None
--- a/src/quincespool/gateway/daemon.py
+++ b/src/quincespool/gateway/daemon.py
@@ -213,7 +213,7 @@
         return self._planned_stop.allows_deadline(until_ms)
 
     def _release_predecessor(self, incarnation: int) -> None:
-        """Releases the partitions of the previous process, which crashed before it could."""
+        """Releases partitions that this daemon's previous process still held when it crashed."""
         self._start_task(self._ownership.release(self._settings.member_id, incarnation))
 
     def _make_ports(self) -> None:
@@ -309,13 +309,14 @@
         """Acquires partitions only once calls can be routed.
 
         After a restart of all daemons, reading partitions takes most of the store's bandwidth. A
-        daemon without a configuration would wait for up to a second while the others read theirs.
+        daemon without a configuration would wait for it for up to a second while the other daemons
+        read their partitions.
         """
         await self._cluster_view.wait_until_routable()
         await self._ownership.run()
 
     def begin_stop(self) -> None:
-        """Begins a planned stop; `stopped` is set when no requests are in flight any more."""
+        """Begins a planned stop; `stopped` is set once no requests are in flight."""
         if self._planned_stop.begin():
             self._start_task(self._drain())
 
--- a/src/quincespool/gateway/first_seen.py
+++ b/src/quincespool/gateway/first_seen.py
@@ -1,4 +1,4 @@
-"""The age of values, measured by this daemon's steady clock from when it first saw them."""
+"""Measures the age of values by the steady clock, from when this daemon first saw them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self._seen: dict[str, tuple[int, int]] = {}
 
     def age_ms(self, name: str, value: int, now_ms: int) -> int:
-        """Returns how long a name has had this value here; 0 if the value is new.
+        """Returns how long this daemon has seen a name with this value; 0 if the value is new.
 
         Args:
           name: What the value belongs to.
@@ -32,5 +32,5 @@
         return now_ms - seen[1]
 
     def retain(self, names: Container[str]) -> None:
-        """Drops all names but these."""
+        """Drops all names that are not in `names`."""
         self._seen = {name: seen for name, seen in self._seen.items() if name in names}
--- a/src/quincespool/gateway/futures.py
+++ b/src/quincespool/gateway/futures.py
@@ -15,7 +15,7 @@
 
 T = TypeVar("T")
 
-# Delay before a failed task is restarted, so that one that fails at once does not use up the
+# Delay before a failed task is restarted, so that a task that fails immediately does not use up the
 # processor.
 RESTART_S = 0.25
 
--- a/src/quincespool/gateway/live_settings.py
+++ b/src/quincespool/gateway/live_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force and the reload of the settings file in a running daemon."""
+"""Holds the settings in force and reloads the settings file in a running daemon."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from quincespool.gateway.settings import GatewaySettings
 
 # The other settings are addresses, names and values that all daemons share; a daemon that changed
-# them while it runs would no longer be the member that the others know.
+# them while it runs would no longer match what the other daemons know about it.
 RELOADABLE_FIELDS = frozenset(
     {"addresses_valid_ms", "backends_interval_ms", "log_level", "stop_grace_s"}
 )
--- a/src/quincespool/gateway/maintenance.py
+++ b/src/quincespool/gateway/maintenance.py
@@ -22,7 +22,7 @@
     from quincespool.gateway.turns.runner import TurnRunner
     from quincespool.gateway.turns.trimming import LogTrimmer
 
-# Least interval between checks for silent peers; a small part of the silence that is tolerated.
+# Minimum interval between checks for silent peers; a small fraction of the tolerated silence.
 MIN_CHECK_INTERVAL_MS = 50
 MAINTENANCE_INTERVAL_MS = 250
 EXPIRY_INTERVAL_MS = 2_000
--- a/src/quincespool/gateway/members/datagram_socket.py
+++ b/src/quincespool/gateway/members/datagram_socket.py
@@ -45,7 +45,7 @@
             self._transport.close()
 
     def send(self, daemons: list[Daemon], message: Any) -> None:
-        """Sends a message to each of some daemons; lost datagrams are not sent again."""
+        """Sends a message to each daemon; lost datagrams are not retransmitted."""
         if self._transport is None:
             return
         data = CODEC.encode(self._member_id, message)
@@ -67,4 +67,4 @@
         self._on_datagram(sender, message)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores unreachable ports; missing heartbeats tell that a daemon has stopped."""
+        """Ignores unreachable ports; missing heartbeats show that a daemon has stopped."""
--- a/src/quincespool/gateway/members/links.py
+++ b/src/quincespool/gateway/members/links.py
@@ -25,8 +25,8 @@
     from collections.abc import Callable
 
 CONNECT_LIMIT_S = 0.5
-# Data that stays unacknowledged for this long means a dead host or a link that carries nothing any
-# more; its turns are given back while their callers still wait.
+# Data that stays unacknowledged for this long means a dead host or a broken link. The link is
+# then closed, and its pending turns are answered with errors while their callers still wait.
 UNACKNOWLEDGED_MS = 800
 PROBE_INTERVAL_S = 0.4
 # Links without a pending answer are checked only by the kernel's keepalive probes, which wake no
@@ -34,8 +34,8 @@
 # callers do.
 IDLE_BEFORE_PROBES_S = 3
 # Turns stay on the link of a process that sends nothing while its host still acknowledges, such as
-# one short of processor time, for this long; callers leave a stream after two seconds without an
-# event.
+# one short of processor time, for this long; callers disconnect from a stream after two
+# seconds without an event.
 STALL_LIMIT_S = 0.6
 MAX_UNSENT_BYTES = 8_000_000
 # A link that is lost sooner than this is reconnected only when it is needed next: otherwise a peer
@@ -79,9 +79,9 @@
     def is_dead(self) -> bool:
         """Whether the link to a daemon that has fallen silent should be closed.
 
-        A host without power acknowledges nothing, and the kernel retransmits the last probe again
-        and again. A host that acknowledges is alive; its process may only be stalled, and will go
-        on with its turns.
+        A host without power acknowledges nothing, and the kernel retransmits the last probe
+        repeatedly. A host that acknowledges is alive; its process may only be stalled, and will
+        continue its turns.
         """
         now_s = time.monotonic()
         if self._silent_since_s is None:
@@ -126,7 +126,7 @@
             self.close()
 
     def _dispatch(self, sender: str, message: Any) -> None:
-        """Passes a message on; an error in its handler must not end the other calls on the link."""
+        """Calls `on_message`; an exception in it must not end the other calls on the link."""
         try:
             self._on_message(self, sender, message)
         except Exception as error:
@@ -242,8 +242,9 @@
         self._on_lost(link)
         if self._outgoing.get(address) is not link:
             return
-        # Both a killed process and a network fault reset links. Only a new connection attempt tells
-        # which it was, and a killed process's lease should end before the next turn needs it.
+        # Both a killed process and a network fault reset links. Only a new connection attempt shows
+        # which of them happened, and the lease of a killed process should end before the next turn
+        # is relayed to that process.
         del self._outgoing[address]
         if time.monotonic() - link.connected_s < MIN_RECONNECT_S:
             return
--- a/src/quincespool/gateway/members/member_table.py
+++ b/src/quincespool/gateway/members/member_table.py
@@ -1,4 +1,4 @@
-"""Table of the daemons: which exist, which are alive, and which partitions each one owns."""
+"""Table of the daemons: their entries, whether they are alive, and the partitions they own."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 # when heartbeats stop. A host seldom falls silent together with all three, as the order of the ring
 # does not depend on zones.
 WATCHER_COUNT = 3
-# The other daemons get a heartbeat once a round. Three missed rounds are not chance either; this is
-# the fallback for a silence that no watcher could report.
+# The other daemons get a heartbeat once a round. Three missed rounds are unlikely to be chance;
+# this limit is the fallback for a silence that no watcher could report.
 MAX_MISSED_ROUNDS = 3
 # A daemon with a new entry counts as alive for as long as its first heartbeats may take.
 NEW_ENTRY_GRACE_MS = 3_000
-# Callers use no more addresses than this from one answer of the directory.
+# Maximum number of addresses that callers use from one answer of the directory.
 MAX_ADDRESSES = 64
-# If a caller's zone has at least this many daemons, only these are returned, as traffic between
-# zones is charged. Otherwise those of all zones are, so that few callers are left without another
-# address when some daemons are killed.
+# If a caller's zone has at least this many daemons, only their addresses are returned, as
+# traffic between zones is charged. Otherwise addresses of all zones are returned, so that few
+# callers are left without another address when some daemons are killed.
 MIN_ZONE_ADDRESSES = 8
 # A process takes longer than this to end and start again.
 MIN_RESTART_MS = 500
@@ -53,8 +53,8 @@
 
     Attributes:
       entries: By member id, this daemon included.
-      heartbeat_round_ms: Time within which every other daemon gets at least one heartbeat of this
-        one.
+      heartbeat_round_ms: Time within which every other daemon gets at least one heartbeat from
+        this daemon.
     """
 
     def __init__(self, member_id: str) -> None:
@@ -175,9 +175,9 @@
     def record_silence_notice(self, member_id: str, incarnation: int, now_ms: int) -> bool:
         """Handles a watcher's notice that a daemon is silent; returns whether it is now suspected.
 
-        The notice is ignored if a heartbeat has arrived here lately, as the watcher may be the one
-        that is cut off. The daemon in question gets the notice as well and answers with a heartbeat
-        to all.
+        The notice is ignored if this daemon has received a heartbeat of the reported daemon
+        recently, as the watcher itself may be cut off. The reported daemon gets the notice as well
+        and answers with a heartbeat to all daemons.
         """
         latest = self._last_heartbeats.get(member_id)
         if latest is None or latest.heartbeat.incarnation != incarnation:
@@ -207,7 +207,7 @@
         """Treats an unreachable daemon as not alive until its next heartbeat.
 
         In large groups heartbeats are rare, and a turn for a crashed owner would try the same dead
-        address again and again until enough heartbeats are missed.
+        address repeatedly until enough heartbeats are missed.
         """
         latest = self._last_heartbeats.get(member_id)
         if latest is not None:
@@ -238,9 +238,10 @@
         return highest
 
     def writer(self, partition: Partition, now_ms: int) -> tuple[Daemon, int] | None:
-        """Returns the daemon that can append to a partition, its present or last owner; its epoch.
+        """Returns the present or last owner of a partition, which can append to it, and its epoch.
 
-        An owner that is stopping no longer claims the partition, but appends until another does.
+        An owner that is stopping no longer claims the partition, but appends until another
+        daemon claims it.
         """
         owner = self.owner(partition, now_ms)
         epoch, member_id = self._highest_claims.get(partition, (-1, ""))
@@ -288,7 +289,8 @@
     def _update_ring(self) -> None:
         """Sorts the other daemons into the order of the ring, which is the same at every daemon.
 
-        The order is that of hashes, so that neighbours are seldom in one zone and fail together.
+        Daemons are ordered by the hash of their ids, so that neighbours are seldom in one zone and
+        seldom fail together.
         """
         own = stable_hash(self._member_id)
         others = [one for one in self.entries.values() if one.member_id != self._member_id]
--- a/src/quincespool/gateway/members/messages.py
+++ b/src/quincespool/gateway/members/messages.py
@@ -25,7 +25,7 @@
       incarnation: Start time of the sender's process.
       sequence: Number of the heartbeat within the incarnation.
       generation: Generation of the consumer group that the sender knows.
-      engine_id: An engine whose speed differs from that of the others; empty if none is reported.
+      engine_id: An engine whose speed differs from other engines; empty if none is reported.
       engine_event_us: Mean time between the events of a stream of that engine, in microseconds.
     """
 
@@ -48,7 +48,7 @@
 
 
 class RelayCall(NamedTuple):
-    """A turn that is relayed to the owner of its program; -1 stands for a number not given.
+    """A turn that is relayed to the owner of its program; -1 stands for an absent number.
 
     Attributes:
       kind: Kind of the route, for daemons of earlier releases; turns are always streams.
@@ -86,7 +86,7 @@
 
 
 class RelayCancel(NamedTuple):
-    """Cancels a relayed call: its caller has disconnected, or the sender has given it up."""
+    """Cancels a relayed call: its caller has disconnected, or the sender has stopped waiting."""
 
     relay_id: int
 
@@ -147,8 +147,8 @@
     """Requests the history of a turn from whichever daemon owns its partition.
 
     Attributes:
-      certain: Whether daemons without the turn answer, too, with the partitions that they are
-        confirmed to own.
+      certain: Whether daemons that do not have the turn answer too, with the partitions that they
+        are confirmed to own.
       account: Account that the turn must belong to; empty where there are no accounts.
     """
 
@@ -163,7 +163,7 @@
 
     Attributes:
       history: The texts of the turn and of all turns before it.
-      retention_ms: For how long from now the turn can be continued from.
+      retention_ms: How long from now later turns can continue from the turn.
     """
 
     find_id: int
@@ -200,8 +200,9 @@
       program_id: Empty for a call that belongs to no program.
       may_begin: Whether the call may be the first of its program.
       kind: Name of the route; programs of one route are expected to be alike.
-      told_calls: Calls that the account had left by the last answer of a limiter; -1 without one.
-      rank: Importance of the route; 0 is the most important.
+      told_calls: Calls that the account had left according to the limiter's last answer; -1 if
+        there was no answer.
+      rank: Priority of the route; 0 is the highest.
     """
 
     permit_id: int
@@ -232,7 +233,7 @@
 
 
 class PermitReturn(NamedTuple):
-    """Returns the permit of an admitted call that has reached no backend server."""
+    """Returns the permit of an admitted call that has not reached a backend server."""
 
     account: str
 
@@ -245,7 +246,7 @@
 
 
 class LinkProbe(NamedTuple):
-    """Traffic by which the kernel notices a silent link; the receiver ignores it."""
+    """Traffic that lets the kernel detect a silent link; the receiver ignores it."""
 
     sent_ms: int
 
@@ -274,7 +275,8 @@
 class SilenceNotice(NamedTuple):
     """The sender watches this daemon and considers it crashed.
 
-    The daemon itself gets the notice too; if it is alive, it answers with a heartbeat to all.
+    The daemon itself gets the notice too; if it is alive, it answers with a heartbeat to all
+    daemons.
     """
 
     member_id: str
@@ -285,8 +287,8 @@
     """Requests a heartbeat: the sender watches the receiver and has missed some of its heartbeats.
 
     Attributes:
-      incarnation: Incarnation in the last heartbeat of the receiver, which answers even if its own
-        is another one.
+      incarnation: Incarnation in the receiver's last heartbeat; the receiver answers even if its
+        incarnation has changed.
     """
 
     incarnation: int
--- a/src/quincespool/gateway/members/presence.py
+++ b/src/quincespool/gateway/members/presence.py
@@ -32,16 +32,17 @@
     from quincespool.gateway.turns.ownership import Ownership
 
 REGISTER_RETRY_S = 0.3
-# A daemon that takes over several partitions reads them within some tens of milliseconds. Those
-# that it has read within this time are announced together.
+# A daemon that takes over several partitions reads them within some tens of milliseconds.
+# Partitions that it has read within this time are announced together.
 ANNOUNCE_INTERVAL_S = 0.02
 
 
 class Presence:
-    """Makes this daemon known by its store entry and heartbeats; handles datagrams of the others.
+    """Announces this daemon by store entry and heartbeats; handles datagrams of other daemons.
 
     Attributes:
-      draining: Whether this daemon is stopping; announced, so that others send it no callers.
+      draining: Whether this daemon is stopping; announced, so that the directories of other daemons
+        do not return its address.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         await self._socket.start(host, port)
 
     def stop(self) -> None:
-        """Closes the datagram socket and cancels what is pending."""
+        """Closes the datagram socket and cancels a pending announcement or pause."""
         self._socket.stop()
         if self._announce_timer is not None:
             self._announce_timer.cancel()
@@ -92,10 +93,10 @@
             self._pausing.cancel()
 
     async def register(self, store: Store) -> None:
-        """Writes the daemon's entry, by which the others find it.
+        """Writes the daemon's entry, by which other daemons find it.
 
-        Waits until the present entries are listed: the new one replaces that of the previous
-        process, which tells whose partitions are free.
+        Waits until the present entries are listed: the new entry replaces that of this daemon's
+        previous process, whose incarnation is needed to release its partitions.
         """
         self._members.put(self._own, now_ms())
         await self._cluster_view.daemon_entries.synced_event.wait()
@@ -110,25 +111,26 @@
                 return
 
     def send_heartbeats(self) -> None:
-        """Sends the periodic heartbeat to the daemons that get this one."""
+        """Sends the periodic heartbeat to the daemons that `heartbeat_targets` returns."""
         self._send_heartbeat(self._members.heartbeat_targets())
 
     def send_claims(self) -> None:
-        """Sends the owned partitions to all others, even just after another announcement."""
+        """Sends the owned partitions to all other daemons, even just after another announcement."""
         self._send_heartbeat(self._members.others)
 
     def announce_departure(self) -> None:
-        """Makes all others renew at once instead of at their next interval, so that they take over.
+        """Makes all other daemons renew their membership at once, so that they take over.
 
-        Sent only once: leaving usually increases the group's generation, but need not.
+        Otherwise they would renew it at their next interval. Sent only once: leaving
+        usually increases the group's generation, but does not always do so.
         """
         self._send_heartbeat(self._members.others, generation=self._ownership.generation + 1)
 
     def announce(self) -> None:
-        """Sends a heartbeat to all others at once, such as when this daemon stops.
+        """Sends a heartbeat to all other daemons at once, for example when this daemon stops.
 
-        Changes within `ANNOUNCE_INTERVAL_S` after it are announced together at the end of that
-        time.
+        Changes within `ANNOUNCE_INTERVAL_S` after the heartbeat are announced together at the end
+        of that time.
         """
         if self._announce_timer is not None:
             return
@@ -141,7 +143,8 @@
     def send_heartbeat_to(self, daemon: Daemon) -> None:
         """Sends a heartbeat to a new daemon, which would otherwise wait for the periodic one.
 
-        Until it has one, it does not know who owns the programs of its callers, and refuses them.
+        Until a daemon has received a heartbeat, it does not know who owns the programs of its
+        callers, and refuses their calls.
         """
         if daemon.member_id != self._own.member_id:
             self._send_heartbeat([daemon])
@@ -210,22 +213,23 @@
         self._socket.send(daemons, heartbeat)
 
     def announce_crash(self, fingerprint: str, backend_id: str) -> None:
-        """Reports to the others that a backend server crashed while it ran a request."""
+        """Reports to other daemons that a backend server crashed while it ran a request."""
         self._socket.send(self._members.others, CrashNotice(fingerprint, backend_id))
 
     def announce_backend_report(self, report: BackendReport) -> None:
-        """Reports to the others that a call failed or was slow at a backend server."""
+        """Reports to other daemons that a call failed or was slow at a backend server."""
         self._socket.send(self._members.others, report)
 
     def update_isolation(self) -> None:
         """Gives up all partitions while this daemon is cut off from all others.
 
-        The store does not notice the isolation and would leave the partitions here. Their programs
-        could go on only through callers that happen to be connected to this daemon.
+        The store does not notice the isolation and would leave the partitions assigned to this
+        daemon. Their programs could continue only through callers that happen to be connected to
+        this daemon.
         """
         isolated = self._members.is_isolated(now_ms())
         if isolated and len(self._ownership.owned) == self._partition_count:
-            # All partitions are assigned to this daemon, so no other one is running.
+            # All partitions are assigned to this daemon, so no other daemon is running.
             isolated = False
         if isolated == self._ownership.is_paused or self.draining:
             return
@@ -262,10 +266,10 @@
             self._ownership.request_renewal()
 
     def _on_silence_question(self, sender: str) -> None:
-        """Sends a heartbeat to the daemon that requested it, and to no other.
+        """Sends a heartbeat only to the daemon that requested it.
 
-        In a large group whose hosts are all short of processor time, answers to all would use up
-        what is left of it.
+        In a large group whose hosts are all short of processor time, answers to all daemons would
+        use up the remaining time.
         """
         watcher = self._members.entries.get(sender)
         if watcher is not None:
--- a/src/quincespool/gateway/model.py
+++ b/src/quincespool/gateway/model.py
@@ -78,7 +78,7 @@
 
 
 class Route(NamedTuple):
-    """Where calls with a host name and a path prefix go, and how long they may take.
+    """The services for calls with a host name and a path prefix, and limits of these calls.
 
     Attributes:
       max_event_gap_ms: How long callers wait for a stream's next event before they disconnect.
@@ -87,7 +87,7 @@
       keeps_history: Whether turns carry only their new input and the gateway prepends the program's
         history.
       retention_ms: How long later turns can continue from a completed turn.
-      is_public: Whether callers need no API key.
+      is_public: Whether callers may omit the API key.
       is_resumable: Whether an interrupted stream may be resumed at another backend server.
     """
 
@@ -138,7 +138,7 @@
     """A client account.
 
     Attributes:
-      rank: Priority of its calls, overrides that of the route; None if the route's applies.
+      rank: Priority of its calls, which overrides the route's; None to use the route's.
       rate_per_s: Calls per second that it may run, across all daemons; 0 if unlimited.
       burst: Calls that it may run at once in excess of the rate.
     """
@@ -162,7 +162,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of everything that operators configure.
+    """One version of the configuration that operators write.
 
     Attributes:
       accounts: None if callers need no API keys.
@@ -180,7 +180,7 @@
 
     Attributes:
       backend_id: May stay the same when the backend server restarts.
-      leaving: Whether it drains: it finishes the calls that it has and accepts no new ones.
+      leaving: Whether it drains: it finishes its calls in progress and accepts no new ones.
       cold_ms: How much longer it is slow because it has just started.
       born_ms: When it started, by its own clock; None on platforms where a restarted backend server
         always gets a new id.
@@ -204,7 +204,7 @@
 class BackendIncarnation(NamedTuple):
     """One process of a backend server, from its start to its end.
 
-    The cache and the failures of one incarnation say nothing about the next one under the same id.
+    The cache and the failures of one incarnation do not apply to the next one with the same id.
     """
 
     backend_id: str
@@ -219,7 +219,8 @@
     """The addresses of a daemon.
 
     Attributes:
-      incarnation: Start time of its process; an entry with a higher one replaces one with a lower.
+      incarnation: Start time of its process in microseconds, by the time of day of its host. The
+        newest entry in the store replaces earlier ones, even if its incarnation is lower.
       caller_address: Address for callers.
       peer_address: Address for other daemons, both TCP and UDP.
     """
--- a/src/quincespool/gateway/planned_stop.py
+++ b/src/quincespool/gateway/planned_stop.py
@@ -16,9 +16,9 @@
     from quincespool.gateway.turns.ownership import Ownership
     from quincespool.gateway.turns.relay import Relay
 
-# Callers use an address for up to three times as long as the directory says.
+# Callers use an address for up to three times the validity that the directory states.
 ADDRESS_VALIDITY_FACTOR = 3
-# Part of the grace period that is reserved for the end of the process.
+# Part of the grace period that is reserved for ending the process.
 STOP_MARGIN_MS = 700
 # An answer is sent at most this long after its call's deadline.
 ANSWER_MARGIN_MS = 200
@@ -80,7 +80,7 @@
         return True
 
     async def drain(self) -> None:
-        """Returns when no requests are in flight any more, or at the deadline of the stop."""
+        """Leaves the group, then waits until no requests are in flight, or until the deadline."""
         unused_from_ms = (
             now_ms() + ADDRESS_VALIDITY_FACTOR * self._live_settings.current.addresses_valid_ms
         )
@@ -102,11 +102,11 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _is_done(self) -> bool:
-        """Returns whether no caller waits and no turn records depend on this daemon any more."""
+        """Returns whether no callers wait for this daemon and no turn records depend on it."""
         if self.in_flight or self._relay.settling or self._ownership.is_writing:
             return False
         # This daemon has taken over a partition from another daemon that stops too, and nobody owns
-        # it now: records of turns in flight at the other one can be made durable only here.
+        # it now: records of turns in flight at that daemon can be made durable only by this one.
         since_ms = now_ms() - int(1_000 * self._live_settings.current.stop_grace_s)
         return not (
             self._ownership.has_retired_takeover_since(since_ms) and self._is_another_draining()
--- a/src/quincespool/gateway/platform_codec.py
+++ b/src/quincespool/gateway/platform_codec.py
@@ -24,7 +24,8 @@
 
     Attributes:
       call_id: The id of the call that the backend server says it answers.
-      stamped: Whether the answer carries the receipt without which a success does not count.
+      stamped: Whether the answer carries the backend server's receipt; a successful answer without
+        it is not accepted.
       not_run: Whether the backend server states that the call has not run.
       headers: Headers to forward to the caller.
       idle_s: How long the connection may stay idle; None if the answer does not say.
@@ -49,7 +50,7 @@
 
 
 class PlatformCodec(Protocol):
-    """Encodes and decodes what a platform defines; holds no state."""
+    """Encodes and decodes the formats that a platform defines; holds no state."""
 
     CONFIGURATION_TOPIC: str
     CONFIGURATION_KEY: str
@@ -79,7 +80,7 @@
           account: Account name that is sent in place of the caller's API key; empty if none.
           backend_id: The only backend server that may run the call.
           left_ms: How long the attempt may take.
-          priority: Priority among the calls that wait at the backend server; 0 goes first.
+          priority: Priority among the calls that wait at the backend server; 0 is the highest.
           after_event: Number of the last event that need not be sent again; None to use the one
             that the caller named, if any.
         """
--- a/src/quincespool/gateway/settings.py
+++ b/src/quincespool/gateway/settings.py
@@ -15,7 +15,7 @@
     from pathlib import Path
 
 OWNER_TOPIC = "programs"
-# Least and greatest allowed value of every number; with values outside of these a daemon would
+# Minimum and maximum allowed value of every number; with a value outside this range a daemon would
 # start but misbehave.
 RANGES: dict[str, tuple[int, int]] = {
     "metrics_port": (1, 65_535),
@@ -50,14 +50,14 @@
       owner_lease_ms: A daemon that has not renewed its lease for this long loses its partitions to
         other daemons.
       store_limit_ms: Timeout of one request to the store.
-      store_retention_s: How long the store retains a record. Records of programs that live longer
-        are written again before they expire.
+      store_retention_s: How long the store retains a record. Records of programs that are retained
+        for longer are written again before they expire.
       backends_interval_ms: Interval at which the entries of backend servers are read. It must be
         short enough to stop using a backend server before it has drained.
       addresses_valid_ms: How long callers may use an answer of the directory. A shorter time makes
         callers ask more often, and the host that they ask first may be without power, which costs
-        them a second; a longer time lets them connect to such a host. Three times this must fit
-        into `stop_grace_s`, since some callers use an answer for that long.
+        them a second; a longer time makes it likelier that they connect to such a host. Three times
+        this must fit into `stop_grace_s`, since some callers use an answer for that long.
       limit_window_s: Operators check an account's rate limit over every window of this length.
       limit_slack_calls: Number of calls by which an account may exceed its limit in a window.
       limit_overage_share: Share of its limit by which an account may exceed it in a window, in
--- a/src/quincespool/gateway/store/cluster_view.py
+++ b/src/quincespool/gateway/store/cluster_view.py
@@ -51,7 +51,7 @@
     """Tracks whether the store answers this daemon, from the outcomes of requests.
 
     Attributes:
-      reachable: Whether the store answers; False once it counts as lost.
+      reachable: Whether the store answers; False while it counts as lost.
       expiry_grace_until_ms: Steady clock until which entries that expired during an outage may
         still be missing from the store.
     """
--- a/src/quincespool/gateway/store/configuration_copies.py
+++ b/src/quincespool/gateway/store/configuration_copies.py
@@ -1,7 +1,7 @@
 """Transfers the configuration between daemons, for those that cannot read it from the store.
 
-Without it, hosts that the store rejects or that are cut off from it would continue to accept an API
-key that operators have revoked, until they can read the store again. The symptom is a
+Without such copies, hosts that the store rejects or that are cut off from it would continue to
+accept an API key that operators have revoked, until they can read the store again. The symptom is a
 `configuration_version` in `call answered` that is behind that of other daemons. Heartbeats carry
 the version in force, and any daemon that has a newer one sends the complete configuration on
 request.
@@ -50,7 +50,8 @@
     """Returns the configuration that `write_configuration_copy` has encoded.
 
     Raises:
-      msgspec.MsgspecError: If the data cannot be decoded, as from another version of the product.
+      msgspec.MsgspecError: If the data cannot be decoded, for example because it is from another
+        release.
     """
     return _DECODER.decode(data)
 
--- a/src/quincespool/gateway/store/hedged_requests.py
+++ b/src/quincespool/gateway/store/hedged_requests.py
@@ -27,7 +27,8 @@
 
     Without hedging, when an answer of the store is lost and its connection stays silent, a
     partition with all its programs waits for the full timeout. The symptom is a `gateway_record_ms`
-    as long as the timeout while most answers take a few milliseconds. Only for idempotent requests.
+    as long as the timeout while most answers take a few milliseconds. The requests must be
+    idempotent.
 
     Attributes:
       times: Statistics of answer times, which determine when the next copy is sent.
@@ -47,7 +48,7 @@
         self._recovered = asyncio.get_running_loop().create_future()
 
     async def pause(self, seconds: float) -> None:
-        """Waits, at most until the store has recovered from an outage."""
+        """Waits until the store has recovered from an outage, but at most for `seconds`."""
         await asyncio.wait({self._recovered}, timeout=seconds)
 
     async def first_answer(self, call: Callable[[], Coroutine[Any, Any, T]]) -> T:
@@ -57,7 +58,8 @@
           call: Sends one copy, on a connection of its own.
 
         Raises:
-          StoreError: The error of the last copy, if none succeeds; or a final refusal, at once.
+          StoreError: If no copy succeeds, with the error of the last one; if a copy gets a final
+            refusal, at once.
         """
         # Ordered by the time at which they were sent.
         copies: list[asyncio.Task[T]] = []
@@ -74,9 +76,9 @@
                 done = await self._wait(copies, self.times.wait_ms(sent))
                 copies = [copy for copy in copies if copy not in done]
                 if recovered.done() and not done and len(copies) == MAX_COPIES:
-                    # All copies were sent during the outage and may be lost. The oldest one makes
-                    # room for a new one: waiting for them would delay the answer by up to one
-                    # timeout after the store's recovery.
+                    # All copies were sent during the outage and may be lost. The oldest one is
+                    # cancelled so that a new one can be sent: waiting for them would delay the
+                    # answer by up to one timeout after the store's recovery.
                     copies.pop(0).cancel()
                 for copy in done:
                     error = copy.exception()
--- a/src/quincespool/gateway/store/interface.py
+++ b/src/quincespool/gateway/store/interface.py
@@ -79,7 +79,7 @@
     """Records from one read; the first one is at the requested offset.
 
     Attributes:
-      end_offset: Offset from which to read on.
+      end_offset: Offset at which the next read starts.
       records: The records, in order.
     """
 
@@ -99,7 +99,7 @@
     """Records of a keyed topic.
 
     Attributes:
-      end_offset: Offset from which to read on.
+      end_offset: Offset at which the next read starts.
       records: The records, in order.
     """
 
@@ -125,8 +125,8 @@
     ) -> int:
         """Appends all records or none under a writer's epoch; returns the new end offset.
 
-        Without records it only sets the epoch. Repeating an append with the same sequence number is
-        harmless.
+        An append without records only sets the epoch. Repeating an append with the same sequence
+        number is harmless.
 
         Raises:
           FencedError: If the store has seen a higher epoch.
--- a/src/quincespool/gateway/ticker.py
+++ b/src/quincespool/gateway/ticker.py
@@ -15,7 +15,7 @@
 
 
 class Ticker:
-    """Calls subscribers at their intervals; calls that were missed are not made up for."""
+    """Calls subscribers at their intervals; missed calls are skipped."""
 
     def __init__(self) -> None:
         self._handles: dict[int, asyncio.TimerHandle] = {}
--- a/src/quincespool/platform/entries.py
+++ b/src/quincespool/platform/entries.py
@@ -25,9 +25,9 @@
 BACKENDS_TOPIC = "keyed.servers"
 DAEMONS_TOPIC = "keyed.status"
 
-# Callers leave a stream after the longest of three times without an event: this fixed time, this
-# multiple of the route's target latency of the first event, and this multiple of its target pause
-# between events.
+# Callers disconnect from a stream after the longest of three times without an event: this fixed
+# time, this multiple of the route's target latency of the first event, and this multiple of its
+# target pause between events.
 EVENT_GAP_FLOOR_MS = 2_000
 EVENT_GAP_LATENCY_FACTOR = 4
 EVENT_GAP_PAUSE_FACTOR = 8
@@ -55,7 +55,7 @@
     # Longest pause between events for a stream to meet its target.
     target_gap_ms: float = 0
     public: bool = False
-    # A broken-off stream may be resumed after its last event, at any engine.
+    # An interrupted stream may be resumed after its last event, at any engine.
     resumable: bool = False
 
 
@@ -99,8 +99,8 @@
 
 
 class _Server(msgspec.Struct):
-    # Every entry that a backend server writes of itself has all fields but the last. An entry that
-    # lacks one, or has it in another form, is not from a backend server and is rejected.
+    # Every entry that a backend server writes about itself has all fields except the last. An entry
+    # in which a field is missing or has another type is not from a backend server and is rejected.
     service: str
     address: str
     zone: str
@@ -109,9 +109,9 @@
     slots: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-    # Number of orders that it has accepted since its start.
+    # Number of orders that the backend server has accepted since its start.
     sequence: _Count
-    # Start time of its process in ms; only where it may restart under the same id.
+    # Start time of its process in ms; present only if the server may restart under the same id.
     born: _Count | msgspec.UnsetType = msgspec.UNSET
 
 
--- a/src/quincespool/platform/requests.py
+++ b/src/quincespool/platform/requests.py
@@ -79,8 +79,8 @@
     if len(headers) != len(request.headers) and _repeats_identifying_header(request.headers):
         return Error(RequestError(400, "a header that identifies the call is repeated"))
     if "transfer-encoding" in headers and "content-length" in headers:
-        # Request smuggling: two parsers may disagree on where such a request ends, and take the
-        # rest for another request that no caller sent.
+        # Request smuggling: two parsers may disagree on where such a request ends, and treat the
+        # rest as another request that no caller sent.
         return Error(RequestError(400, "both a length and chunks"))
     call_id = headers.get("request-id", "")
     if not _ID.fullmatch(call_id):
@@ -117,7 +117,7 @@
 
 
 def read_address_request(request: HttpRequest) -> AddressRequest | None:
-    """Parses a query for daemon addresses; None if the request is another one."""
+    """Parses a query for daemon addresses; None if the request is for something else."""
     parts = urlsplit(request.target)
     if request.method != "GET" or parts.path != "/resolve":
         return None
@@ -151,7 +151,8 @@
       backend_id: Backend server that may run it; another one at the same address refuses it.
       left_ms: Time until the deadline.
       priority: Sent if not None.
-      after_event: Number of the event after which a stream is resumed; None leaves the caller's.
+      after_event: Number of the event after which a stream is resumed; None keeps the
+        caller's header.
     """
     forwarded: Iterable[tuple[str, str]] = call.headers
     if after_event is not None:
--- a/src/quincespool/platform/store.py
+++ b/src/quincespool/platform/store.py
@@ -83,7 +83,7 @@
 
 
 class PlatformStore:
-    """Client of the store; calls `on_call` with path and outcome of each request."""
+    """Client of the store; calls `on_call` with the path and outcome of each request."""
 
     def __init__(
         self,
@@ -148,8 +148,8 @@
         while True:
             answer = await self._request("GET", "/log-newest", query, b"", self._time_limit_ms)
             page = _decode(answer, _Newest)
-            # Pages are read one after the other. What changes meanwhile has offsets at or after
-            # the end that the first page names, so callers read on from there.
+            # Pages are read one after the other. Records written meanwhile have offsets at or after
+            # the end that the first page names, so callers continue to read from that offset.
             end_offset = page.end if end_offset is None else end_offset
             records += [_decode_item(item) for item in page.items]
             if not page.more or not page.items:
@@ -220,7 +220,7 @@
 
 
 def _error(answer: ChannelAnswer) -> StoreError:
-    """Decodes a refusal: 409 is a conflict of writers, 410 names the first retained record.
+    """Decodes a refusal: 409 is a conflict of writers, 410 gives the first retained record.
 
     A refusal with an unreadable body also becomes a `StoreError`, which callers handle.
     """
@@ -246,7 +246,7 @@
 
 
 def _decode(answer: ChannelAnswer, body_type: type[T]) -> T:
-    """Decodes a body; if it is unreadable, the request may have been done all the same."""
+    """Decodes a body; if it is unreadable, the request may still have been executed."""
     try:
         return msgspec.json.decode(answer.body, type=body_type)
     except msgspec.MsgspecError as error:
@@ -270,7 +270,8 @@
 def _decode_keyed(record: bytes, offset: int) -> KeyedRecord:
     """Decodes a record of a keyed topic: one byte of key length, the key, and the value if any.
 
-    Other programs write there too. Keys that are not UTF-8 are escaped, and match no other key.
+    Other programs write to these topics too. Keys that are not UTF-8 are escaped, and match no
+    other key.
     """
     size = record[0] if record else 0
     key = record[1 : 1 + size].decode("utf-8", "backslashreplace")
--- a/tests/gateway/callers/test_bad_input.py
+++ b/tests/gateway/callers/test_bad_input.py
@@ -41,7 +41,7 @@
 
 
 async def _send(address: str, data: bytes) -> bytes:
-    """Sends bytes and returns what comes back until the daemon closes the connection."""
+    """Sends bytes and returns the data received until the daemon closes the connection."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
--- a/tests/gateway/callers/test_plain_calls.py
+++ b/tests/gateway/callers/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Tests of plain calls, which are sent again only if idempotent."""
+"""Tests of plain calls, which are retried only if idempotent."""
 
 from __future__ import annotations
 
--- a/tests/gateway/callers/test_routes.py
+++ b/tests/gateway/callers/test_routes.py
@@ -32,7 +32,7 @@
 
 
 def _with_accounts(version: int, keys: dict[str, str], *routes: Route) -> Configuration:
-    """Returns a configuration whose account `ranked` has rank 0 in place of that of the route."""
+    """Returns a configuration whose account `ranked` has rank 0 instead of the route's rank."""
     by_name = {"ranked": Account("ranked", 0, 0, 0), "plain": Account("plain", None, 0, 0)}
     by_key = {digest_key(key): name for key, name in keys.items()}
     return _configuration(version, *routes)._replace(accounts=Accounts(by_name, by_key))
--- a/tests/gateway/callers/test_unanswered.py
+++ b/tests/gateway/callers/test_unanswered.py
@@ -67,7 +67,7 @@
         await cluster.until(cluster.all_runs)
         cluster.nodes["a"].daemon.begin_stop()
         (connection,) = cluster.nodes["a"].daemon._caller_port._connections
-        # Data sent from here on stays in the socket while the answer is written.
+        # Data sent from this point on stays unread in the socket while the answer is written.
         connection._transport.pause_reading()
         writer.write(second.encode())
         answers = await asyncio.wait_for(reader.read(), 5)
--- a/tests/gateway/gateway_cluster.py
+++ b/tests/gateway/gateway_cluster.py
@@ -134,7 +134,7 @@
             self.nodes[name].store.knobs.down = down
 
     async def start_store_outage(self, *names: str) -> None:
-        """Makes the store refuse requests of some daemons; waits until they have noticed."""
+        """Makes the store refuse requests of some daemons; waits until they have detected it."""
         self.set_store(*names, down=True)
         await self.until(
             lambda: not any(self.nodes[name].daemon._store_health.reachable for name in names)
@@ -174,7 +174,7 @@
         accounts: list[dict[str, object]] | None = None,
         **changes: object,
     ) -> None:
-        """Writes a configuration; `changes` apply to the streaming route."""
+        """Writes a configuration; `changes` override fields of the streaming route."""
         body = make_configuration(version, limits=limits, accounts=accounts, stream_changes=changes)
         self.state.put("keyed.op", "config", body)
 
--- a/tests/gateway/members/test_links.py
+++ b/tests/gateway/members/test_links.py
@@ -21,7 +21,7 @@
     import pytest
 
 INTERVALS = 30
-# The kernel retransmits after 0.2 s, then after twice as long.
+# The kernel retransmits after 0.2 s, then after twice that time.
 RESENT_S = 0.5
 SO_ATTACH_FILTER = 26
 # A socket filter of one instruction, which accepts 0 bytes of each packet.
@@ -64,7 +64,7 @@
 
 
 async def test_the_kernel_probes_a_silent_link_without_pending_answers() -> None:
-    """Otherwise the next turn would be the first to find that the link is dead."""
+    """Otherwise a dead link would be detected only when the next turn is relayed."""
     here, there = _make_links("here"), _make_links("there")
     await there.start("127.0.0.1", 0)
     link = await here.get(f"127.0.0.1:{there._listener.port}")
@@ -83,7 +83,7 @@
     """Guards against programs of a killed process waiting until its lease expires.
 
     The process is killed while its host is alive, so its links are reset. Without an immediate
-    connection attempt, nobody notices that nothing listens there until a turn has to be relayed.
+    connection attempt, nobody notices that its port is closed until a turn has to be relayed.
     """
     refused: list[str] = []
     here, there = _make_links("here", refused.append), _make_links("there")
@@ -164,7 +164,7 @@
 
 @contextlib.asynccontextmanager
 async def _connected_links() -> AsyncIterator[tuple[Links, str, Link, Link]]:
-    """Yields the links of one daemon, the address of another, and both ends of their link."""
+    """Yields the links of one daemon, the address of another daemon, and both ends of the link."""
     here, there = _make_links("here"), _make_links("there")
     await there.start("127.0.0.1", 0)
     address = f"127.0.0.1:{there._listener.port}"
--- a/tests/gateway/members/test_member_table.py
+++ b/tests/gateway/members/test_member_table.py
@@ -60,7 +60,7 @@
     """Guards against a restarted daemon getting no turns and its partitions staying unowned.
 
     The clock of its host is set back, so the daemon restarts with a lower incarnation. Its
-    heartbeats must not be taken for delayed ones from before the restart.
+    heartbeats must not be mistaken for delayed heartbeats from before the restart.
     """
     members = _members("a")
     members.record_heartbeat("a", _heartbeat(incarnation=100, sequence=50), 1_000)
@@ -138,7 +138,7 @@
     """Guards against a large group sending turns to a crashed owner for seconds.
 
     Most daemons get heartbeats of a host seldom and can't notice its crash soon. Only its watchers,
-    which get every heartbeat, can, and they have to notify the others.
+    which get every heartbeat, notice it, and they have to notify the other daemons.
     """
     group = _large_group(40)
     for members in group.values():
@@ -183,7 +183,7 @@
 
 
 def test_withdrawn_claims_and_removed_daemons_own_nothing() -> None:
-    """Claims missing from the newest heartbeat don't count, nor those of a removed daemon."""
+    """Claims that the newest heartbeat lacks don't count, nor do claims of a removed daemon."""
     members = _members("a", "b")
     members.record_heartbeat("a", _heartbeat(sequence=1, epoch=5), 0)
     members.record_heartbeat("b", _heartbeat(sequence=1, epoch=6), 0)
--- a/tests/gateway/members/test_presence.py
+++ b/tests/gateway/members/test_presence.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon announces to the others, and when."""
+"""Tests of what a daemon announces to other daemons, and when."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """Guards against callers being sent to a stopping daemon until its next periodic heartbeat.
 
     The daemon announces that it has taken over a partition, and is asked to stop some milliseconds
-    later. Announcements within a short time are sent together at its end, and the second one must
-    be sent even if no partition has changed.
+    later. Announcements within a short interval are sent together at its end, and the second one
+    must be sent even if no partition has changed.
     """
     async with GatewayCluster(2) as cluster:
         presence = cluster.nodes["a"].daemon._presence
--- a/tests/gateway/store/test_hedged_requests.py
+++ b/tests/gateway/store/test_hedged_requests.py
@@ -80,8 +80,8 @@
 async def test_another_copy_is_sent_at_once_when_the_store_recovers() -> None:
     """Turns must not end up to a second later than the store recovers.
 
-    A batch is sent while the store is silent and never reaches it. After the recovery it must not
-    wait for its own timeout.
+    A batch is sent while the store is silent and never reaches the store. After the recovery, the
+    batch must not wait for its own timeout.
     """
     hedged = _make_hedged()
     hedged.times.mean_ms = 10_000.0
--- a/tests/gateway/store/test_store_outages.py
+++ b/tests/gateway/store/test_store_outages.py
@@ -83,10 +83,10 @@
 
 
 async def test_a_turn_at_an_owner_that_the_store_refuses_is_made_durable_by_the_next() -> None:
-    """Turns must not be refused at a third of the hosts while the store refuses these hosts.
+    """Turns must not be refused at a third of the hosts while the store refuses their requests.
 
-    The store serves only some hosts. One of the others has a turn in flight, and by the end of the
-    turn another daemon owns its program.
+    The store serves only some hosts. One of the other hosts has a turn in flight, and by the
+    end of the turn another daemon owns its program.
     """
     async with GatewayCluster(2) as cluster:
         daemon = cluster.nodes["a"].daemon
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -103,7 +103,7 @@
     """Guards against turns being cut off and run again although the store is back in time.
 
     The store is unreachable for two seconds at the end of turns whose callers wait for 2,400 ms.
-    The time that callers wait must be that of their route, not one figure for all.
+    The time that callers wait must be that of their route, not one value for all routes.
     """
     changed = CONFIGURATION.replace(
         b'"target_latency_ms":250', f'"target_latency_ms":{latency}'.encode()
