--- a/src/quincespool/policy/admission.py
+++ b/src/quincespool/policy/admission.py
@@ -4,8 +4,8 @@
 so that nearly all programs are late, including those that are half done, and urgent turns find the
 queues full of less urgent ones. A new program begins only if the expected waits of its turns leave
 it time to end; a program that has begun continues. A host estimates the waits from its own turns
-and sends no requests for it. Programs of an account that sends many times its usual load, and so
-fills the engines, are refused first.
+and sends no additional requests to measure them. Programs of an account that sends many times its
+usual load, and so fills the engines, are refused first.
 """
 
 from __future__ import annotations
@@ -21,14 +21,16 @@
     from quincespool.policy.program_shapes import ProgramKind
     from quincespool.policy.urgency import Rank
 
-# Part of a new program's remaining time for which its turns may wait for engines. The rest is for
-# its run time on idle engines, and for the growth of the waits until the programs that begin now
-# have ended.
+# Share of a new program's remaining time that its turns may spend waiting for engines. The rest is
+# for its run time on idle engines, and for the growth of the waits until the programs that begin
+# now have ended.
 WAIT_SHARE = 0.5
-# The same where more urgent programs use the service: less urgent ones are refused first.
+# This share for programs whose service also runs more urgent ones, so that the less urgent ones are
+# refused first.
 LESS_URGENT_WAIT_SHARE = 0.35
-# Factor on that part for programs of an account that sends more than its usual load: engines are
-# full of its turns, and programs of other accounts get slots while it waits.
+# Factor by which either share is multiplied for programs of an account that sends more than its
+# usual load: engines are full of its turns, and while its new programs wait, programs of other
+# accounts get slots.
 NEAR_LIMIT_FACTOR = 0.3
 # Expected calls and duration of a program before the end of any program was observed.
 INITIAL_SHAPE = Shape(calls=5.0, duration_ms=2_000.0)
@@ -38,13 +40,13 @@
 # Weight of the newest turn in the mean wait.
 NEWEST_WEIGHT = 0.2
 # Without another turn a measured wait stays valid for FRESH_MS and then halves every HALF_LIFE_MS:
-# the turns of the programs that are admitted then show the present wait.
+# programs are then admitted again, and their turns show the current wait.
 FRESH_MS = 500
 HALF_LIFE_MS = 500
-# Wait that is recorded for a turn that no engine accepts: that of a queue as long as two batches.
+# Wait that is recorded for a turn that no engine accepts: the wait in a queue of two batches.
 FULL_WAIT_MS = 400.0
-# The least time to a turn's first event is taken over one to two periods of this length, which is
-# long enough for at least one turn to have met an idle engine.
+# The least time to a turn's first event is determined over the last one to two periods of this
+# length, which is long enough for at least one turn to have run on an idle engine.
 MIN_LATENCY_PERIOD_MS = 10_000
 MIN_RETRY_MS = 250
 MAX_RETRY_MS = 1_000
@@ -55,7 +57,7 @@
 
     Attributes:
       service: The service whose engines run it.
-      kind: Its kind, which tells the number of turns to expect.
+      kind: Its kind, which determines the number of turns to expect.
       left_ms: Time until it should be finished.
       is_near_limit: Whether its account has used half of its bucket or more.
     """
@@ -105,7 +107,7 @@
 
 
 class AdmissionControl:
-    """Refuses new programs by how long the turns of this host waited at each service."""
+    """Refuses new programs based on how long the turns of this host waited at each service."""
 
     def __init__(self) -> None:
         self._waits: dict[tuple[str, Rank], _Wait] = {}
@@ -131,12 +133,12 @@
     def wait_ms(self, service: str, rank: Rank, now_ms: int) -> float:
         """Returns how long a turn is expected to wait.
 
-        Engines run urgent turns first, so that no turn waits less long than a more urgent one.
+        Engines run urgent turns first, so no turn waits for a shorter time than a more urgent one.
         """
         return _longest_ms(self._waits_of_rank_or_above(service, rank), now_ms)
 
     def reject(self, program: NewProgram, now_ms: int) -> Rejection | None:
-        """Returns the refusal of a new program, None if it may begin."""
+        """Returns the refusal of a new program, or None if the program may begin."""
         service, rank = program.service, program.kind.rank
         waits = self._waits_of_rank_or_above(service, rank)
         wait_ms = _longest_ms(waits, now_ms)
--- a/src/quincespool/policy/answer_times.py
+++ b/src/quincespool/policy/answer_times.py
@@ -31,7 +31,7 @@
         self.deviation_ms = first_mean_ms / 2
 
     def observe(self, took_ms: float) -> None:
-        """Records an answer time, counted from the copy of the request that was answered."""
+        """Records an answer time, measured from when the answered copy of the request was sent."""
         took_ms = max(0.0, took_ms)
         error_ms = abs(took_ms - self.mean_ms)
         self.deviation_ms += DEVIATION_WEIGHT * (error_ms - self.deviation_ms)
@@ -41,7 +41,7 @@
         """Returns how long to wait for an answer before another copy of the request is sent.
 
         The wait doubles with each copy. Otherwise a service that has become slow would be flooded
-        with copies before its first slow answer has adapted the wait.
+        with copies before its first slow answer has lengthened the wait.
 
         Args:
           copies: Number of copies that have been sent.
--- a/src/quincespool/policy/cache_plan.py
+++ b/src/quincespool/policy/cache_plan.py
@@ -10,10 +10,10 @@
     from quincespool.policy.protocol import PauseView
 
 CROWDED = 0.85
-"""Share of a backend server's cache in use from which paused programs take up needed space."""
+"""Share of a backend server's cache in use above which paused programs occupy needed space."""
 
 FULL_TURNOVER_MS = 30_000.0
-"""First guess of how long a full cache takes to be overwritten once."""
+"""Initial estimate of how long a full cache takes to be overwritten once."""
 
 EXPORT_MS_PER_TOKEN = 0.01
 """Time to export and import the cache of a token, a cautious guess for hosts on one network."""
@@ -24,9 +24,9 @@
 ) -> CacheAction:
     """Returns the action that costs the engine least.
 
-    The cache stays while the engine has room, and for short pauses. In a crowded engine it would be
-    evicted during a long pause and computed again afterwards, so it is exported first. Engines that
-    can't export keep it: releasing it early only adds to the tokens that are computed again
+    The cache is kept while the engine has room, and for short pauses. In a crowded engine it would
+    be evicted during a long pause and computed again afterwards, so it is exported first. Engines
+    that can't export keep it: releasing it early only adds to the tokens that are computed again
     (docs/measurements.md).
     """
     backend = pause.backend
--- a/src/quincespool/policy/engine_speeds.py
+++ b/src/quincespool/policy/engine_speeds.py
@@ -1,9 +1,9 @@
-"""Measures how fast each engine generates, compared with the others of its service.
+"""Measures how fast each engine generates, compared with the other engines of its service.
 
 Engines of one service may differ in speed permanently: calls that are spread evenly fill the slow
-ones first, and every program that meets one of them is late. A host gets an answer of an engine
-only every few seconds, so hosts report to one another, with each heartbeat, one answer of an engine
-that differs.
+ones first, and every program with a call on a slow engine is late. A host receives an answer of a
+given engine only every few seconds, so each host reports to the other hosts, with each heartbeat,
+one answer of an engine whose speed differs from the usual one.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from typing import NamedTuple
 
 # The initial guess that an engine is as fast as the others weighs as much as this many answers:
-# one answer alone may have met a full batch.
+# a single answer may be slow because the engine's batch was full.
 GUESS_ANSWERS = 1.0
-# Number of answers from which on the newest one has a fixed weight: an engine that has become
-# slower for good is detected after about as many.
+# Number of answers from which the newest one has a fixed weight, one divided by this number: an
+# engine that has become permanently slower is detected after about as many answers.
 MAX_ANSWERS = 12
 # Weight of the newest answer in the usual time between events of the service.
 NEWEST_WEIGHT = 0.05
-# Engines that differ from the usual time by a smaller part than this are not reported.
+# Engines whose time between events differs from the usual one by a smaller part than this are not
+# reported.
 REPORTED_DIFFERENCE = 0.15
 
 
@@ -44,8 +45,8 @@
 
     def observe(self, service: str, answer: SpeedSample) -> None:
         """Records an answer that this host received."""
-        # Only own answers count here: hosts report just engines that differ, and their reports
-        # would shift the usual time.
+        # Only answers that this host received change the usual time: other hosts report only
+        # engines that differ from it, and their reports would shift it.
         usual_ms = self._usual_ms.get(service, answer.event_interval_ms)
         self._usual_ms[service] = usual_ms + NEWEST_WEIGHT * (answer.event_interval_ms - usual_ms)
         self.add_sample(answer)
@@ -65,7 +66,7 @@
         return answer
 
     def slowness(self, service: str, backend_id: str) -> float:
-        """Returns its time between events in multiples of the usual one; 1 if nothing is known."""
+        """Returns an engine's time between events in multiples of the usual one; 1 if unknown."""
         known = self._engines.get(backend_id)
         usual_ms = self._usual_ms.get(service, 0.0)
         if known is None or usual_ms <= 0:
--- a/src/quincespool/policy/estimates.py
+++ b/src/quincespool/policy/estimates.py
@@ -1,7 +1,7 @@
 """Estimators of how long calls take and how long programs pause for tools.
 
-All are exponentially weighted means that start from a first guess, so a new process decides
-sensibly before it has seen anything and adapts within a few dozen observations.
+All are exponentially weighted means that start from an initial estimate, so that a new process
+decides sensibly before its first observation and adapts within a few dozen observations.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ServiceEstimator:
-    """Speeds of the model engines and the mean time a call takes, over all engines alike."""
+    """Speeds of the model engines and the mean duration of a call, averaged over all engines."""
 
     def __init__(self) -> None:
         self.prefill_ms_per_token = FIRST_PREFILL_MS_PER_TOKEN
@@ -55,8 +55,8 @@
         if known_ms is not None:
             self._by_tool_ms[tool] = _smooth(known_ms, pause_ms)
             return
-        # Labels may come from callers. If they sent ever new ones, memory would grow until the
-        # process dies; beyond this limit new labels share the overall mean.
+        # Labels may come from callers. If each pause had a new label, memory would grow until
+        # the process dies; beyond this limit new labels share the overall mean.
         if len(self._by_tool_ms) < MAX_TOOLS:
             self._by_tool_ms[tool] = float(pause_ms)
 
--- a/src/quincespool/policy/least_loaded.py
+++ b/src/quincespool/policy/least_loaded.py
@@ -26,7 +26,7 @@
         self._sent_since: dict[str, int] = {}
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the least loaded one; a hash breaks ties, differently for each seed."""
+        """Returns the least loaded backend server; a hash that depends on the seed breaks ties."""
         for backend in backends:
             self._update_report(backend)
         salt = f"{self._seed}|{call.program_id}|{call.call_number}|"
--- a/src/quincespool/policy/outliers.py
+++ b/src/quincespool/policy/outliers.py
@@ -1,8 +1,8 @@
 """Ejects backend servers at which calls fail, for a limited time.
 
-Limits the damage that backend servers do which crash, stop answering or fail part of their calls
+Limits the damage done by backend servers that crash, stop answering or fail part of their calls
 under load. Each daemon counts the failures of its own calls, and all daemons exchange reports of
-failures: among hundreds of daemons each one sends a backend server a call only every few seconds.
+failures: with hundreds of daemons, each sends a given backend server a call only every few seconds.
 Without the reports each daemon would lose calls to the same fault again, and would hardly ever see
 two failures in a row.
 """
@@ -21,22 +21,23 @@
 # with each further failure.
 FIRST_EJECTION_MS = 500
 MAX_EJECTION_MS = 4_000
-# Consecutive failures after which a backend server is ejected. One broken answer in fifty is usual
-# under faults, two in a row from a healthy backend server are not.
+# Consecutive failures after which a backend server is ejected. While faults occur, one broken
+# answer in fifty is usual; two in a row from a healthy backend server are not.
 FAILURES_TO_EJECT = 2
 
-# Reports within the window that make a backend server an outlier. Where one answer in twenty is
-# lost at all of them, a backend server that takes ten calls a second gets three reports in one
-# window in twenty-five.
+# Reports within the window that make a backend server an outlier. If all backend servers lose
+# one answer in twenty, one that receives ten calls a second gets three reports in one window in
+# twenty-five.
 REPORTS_NEEDED = 3
 # An outlier has at least this many times the median number of reports of the other backend servers
-# of its service: what affects most of them at once, such as a burst, is not the fault of one.
+# of its service: a cause that affects most of them at once, such as a burst, is not a fault of one
+# of them.
 OUTLIER_FACTOR = 3
-# An outlier gets calls again after this long; if they fail the same way, the time doubles. A
-# process that crashed and starts again is recognized as a new incarnation and need not wait.
+# Time after which an outlier gets calls again; if these fail in the same way, the time doubles. A
+# process that crashed and starts again is recognized as a new incarnation and gets calls at once.
 FIRST_SHARED_EJECTION_MS = 2_000
 MAX_SHARED_EJECTION_MS = 4_000
-# A fault this long after the end of the last ejection counts as a new one.
+# A fault that occurs later than this after the end of the last ejection counts as a new fault.
 SHARED_EJECTION_MEMORY_MS = 8_000
 
 
@@ -59,7 +60,7 @@
         """Records a failed call; returns whether the backend server is ejected for it.
 
         Args:
-          backend_id: Where the call failed.
+          backend_id: Id of the backend server at which the call failed.
           now_ms: Steady clock.
           unreachable: Whether the backend server could not be reached, for which one failure is
             enough.
@@ -75,7 +76,7 @@
         return True
 
     def is_ejected(self, backend_id: str, now_ms: int) -> bool:
-        """Whether this daemon sends it no calls for now."""
+        """Whether this daemon currently sends the backend server no calls."""
         health = self._health.get(backend_id)
         return health is not None and now_ms < health.ejected_until_ms
 
@@ -97,12 +98,12 @@
         self._ejections: dict[str, _Ejection] = {}
 
     def is_outlier(self, backend_id: str, now_ms: int) -> bool:
-        """Whether the reports eject it for now."""
+        """Whether the backend server is currently ejected because of the reports."""
         ejection = self._ejections.get(backend_id)
         return ejection is not None and now_ms < ejection.until_ms
 
     def should_report(self, backend_id: str, reporter: str, now_ms: int) -> bool:
-        """Whether one more report of this daemon would be counted by the others."""
+        """Whether one more report of this daemon would be counted by the other daemons."""
         if self.is_outlier(backend_id, now_ms):
             return False
         return self._reports.has_room(backend_id, reporter, now_ms)
@@ -110,14 +111,14 @@
     def record_report(
         self, backend_id: str, reporter: str, *, group: Collection[str], now_ms: int
     ) -> int | None:
-        """Records a report; returns how long the backend server is ejected for it.
+        """Records a report; returns for how many milliseconds it ejects the backend server.
 
         Returns None if the report ejects nothing.
 
         Args:
-          backend_id: Where the call failed.
+          backend_id: Id of the backend server at which the call failed.
           reporter: The daemon that sent the report.
-          group: All backend servers of its service.
+          group: Ids of all backend servers of the same service.
           now_ms: Steady clock.
         """
         if self.is_outlier(backend_id, now_ms):
--- a/src/quincespool/policy/pending_assignments.py
+++ b/src/quincespool/policy/pending_assignments.py
@@ -1,9 +1,9 @@
 """Delays the takeover of newly assigned items while the assignment still changes.
 
 Limits the load when many daemons start at once, as after a power failure: they join one after the
-other, and each one changes which partitions are assigned to whom. A daemon that began to read its
-partitions at once would lose most of them before it had read them, and its reads would delay those
-of all other daemons.
+other, and each one changes which partitions are assigned to which daemon. A daemon that began to
+read its partitions at once would lose most of them before it had read them, and its reads would
+delay those of all other daemons.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 T = TypeVar("T")
 
 # Time without a change after which items are taken over. While daemons join one after the other,
-# the assignment changes every 10 to 20 ms. With ten hosts after a power failure the first one began
-# to read all 32 partitions, and the last one was ready 1.1 s after the first daemon had started;
-# with this delay it is ready after 0.45 s.
+# the assignment changes every 10 to 20 ms. Without this delay, the first of ten hosts after a power
+# failure began to read all 32 partitions, and the last one was ready 1.1 s after the first daemon
+# had started; with the delay the last one is ready after 0.45 s.
 STABLE_MS = 30
-# A change belongs to a series if it comes within this time of the last one or of the start. After a
-# single change, such as a planned stop, items are taken over at once.
+# A change belongs to a series if it occurs within this time of the previous one or of the start.
+# After a single change, such as a planned stop, items are taken over at once.
 SERIES_MS = 300
-# Items are taken over after this long, however often the assignment changes.
+# Longest delay of the takeover of an item, however often the assignment changes.
 MAX_UNSTABLE_MS = 300
 
 
--- a/src/quincespool/policy/placement.py
+++ b/src/quincespool/policy/placement.py
@@ -1,10 +1,10 @@
 """Chooses which of several healthy backend servers gets a call.
 
 Avoids uneven load: at an engine whose batch is full a call waits while other engines have free
-slots. A daemon decides by its own calls in flight and by the time that answers took to begin, which
-reflects the calls of all other daemons too. It does not query the others: their calls in flight
-have changed by the time that an answer arrives. Engines that are faster than others of their
-service get more calls.
+slots. A daemon decides by its own calls in flight and by the time to the first byte of recent
+answers, which depends on the calls of all other daemons, too. It does not query other daemons:
+their calls in flight have changed by the time that an answer arrives. Engines that are faster than
+others of their service get more calls.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
     from collections.abc import Sequence
 
 # A backend server of the daemon's zone is preferred while it is busier than one of another zone by
-# at most this part of its slots: traffic between zones is paid for, and histories make up most of
-# it. Owners are spread unevenly over the zones, and with a much higher value the owners of a zone
-# that has many of them fill its engines first.
+# at most this part of its slots: traffic between zones is billed, and most of it is the histories
+# of programs. Owners are spread unevenly over the zones, and with a much higher value the owners of
+# a zone that has many of them fill its engines first.
 OTHER_ZONE_LOAD = 0.25
 # How much busier, in parts of its slots, an engine that holds a program's cache may be than the
 # least busy one. Computing a history again takes about as long as waiting for a third of a batch.
 AFFINITY_SLACK = 0.34
-# Load added for a process that has just started: it reads and computes as slowly as if a call had
-# to wait for a whole batch.
+# Load added for a process that has just started: it reads and computes requests as slowly as if a
+# call had to wait for a whole batch.
 COLD_LOAD = 1.0
 # Load, in parts of the slots, added for answers that begin later than usual by the time of a
-# complete call. A queue as long as the batch delays them by that much; it counts half, since the
-# lateness is measured on a few calls and varies by chance.
+# complete call. A queue as long as the batch delays answers by that much; the load is only half of
+# that queue's, since the lateness is measured on a few calls and varies by chance.
 LATENESS_LOAD = 0.5
-# Cost of opening a connection, which takes a round trip and a place at the backend server, and is
-# paid for. It is less than one more call in a batch of six, so that concurrent calls still spread.
+# Cost of opening a connection, which takes a round trip, uses one of the connections that the
+# backend server accepts, and is billed. It is less than one more call in a batch of six, so that
+# concurrent calls still spread.
 CONNECT_LOAD = 0.1
-# Load added for an engine that takes twice the usual time. A slow engine still gets calls once the
-# faster ones begin to fill.
+# Load added for an engine whose time between events is twice the usual one. A slow engine still
+# gets calls once the faster ones begin to fill.
 SLOWNESS_LOAD = 0.4
 # Upper bound of the random cost that breaks ties, so that daemons with the same data don't all
 # choose the same backend server.
@@ -68,7 +69,7 @@
     """Returns the id of the candidate that gets the call.
 
     Args:
-      candidates: At least one.
+      candidates: Backend servers to choose from; at least one.
       preferred_id: The engine that holds the program's cache, without which the history is computed
         again; need not be among the candidates.
       rng: Random numbers that break ties.
--- a/src/quincespool/policy/polling.py
+++ b/src/quincespool/policy/polling.py
@@ -1,8 +1,8 @@
 """Computes how often each daemon reads the shared entries from the store.
 
-If each of hundreds of hosts read the entries as often as each of ten does, the reads alone would
-use up the request rate of the store. If the interval grew without limit, daemons would see too late
-that a backend server leaves.
+If each of hundreds of hosts read the entries as often as each of ten hosts does, the reads alone
+would use up the request rate of the store. If the interval grew without limit, daemons would see
+too late that a backend server leaves.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 # (virtual time).
 DAEMON_ENTRIES_MS_PER_DAEMON = 1.5
 MAX_DAEMON_ENTRIES_MS = 1_000
-# With a hundred daemons each one reads once a second, so that all together read a hundred times.
+# With a hundred daemons each one reads once a second; together they make a hundred reads a second.
 BACKEND_ENTRIES_MS_PER_DAEMON = 10
 # Upper limit of the interval. A backend server that leaves still serves for at least two seconds; a
 # read takes up to half a second when the store is slow. With 740 daemons the store gets 493 reads a
@@ -22,17 +22,17 @@
 
 
 def backend_entries_interval_ms(min_ms: int, daemons: int) -> int:
-    """Returns the pause between two reads of the entries of backend servers.
+    """Returns the pause, in ms, between two reads of the entries of backend servers.
 
     Args:
-      min_ms: The interval with few daemons.
+      min_ms: Least pause, which applies with few daemons.
       daemons: Number of daemons.
     """
     return max(min_ms, min(MAX_BACKEND_ENTRIES_MS, BACKEND_ENTRIES_MS_PER_DAEMON * daemons))
 
 
 def daemon_entries_pause_ms(daemons: int) -> int:
-    """Returns the pause between two reads of the entries of daemons, which wait for changes.
+    """Returns the pause, in ms, between two reads of daemons' entries; a read waits for a change.
 
     Args:
       daemons: Number of known daemons.
--- a/src/quincespool/policy/prefix_affinity.py
+++ b/src/quincespool/policy/prefix_affinity.py
@@ -24,13 +24,16 @@
 
 
 class PrefixAffinity:
-    """Uses exact queue lengths and cached prefixes, and of the program just the one call."""
+    """Uses exact queue lengths and cached prefixes, and treats each call separately."""
 
     def __init__(self, *, seed: int) -> None:
         self._seed = seed
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the holder of the longest prefix unless it is much busier than the others."""
+        """Returns the holder of the longest prefix, or else the least busy backend server.
+
+        The least busy one is chosen if the cached prefix is too short or its holder much busier.
+        """
         shortest = min(backends, key=lambda b: (_load(b), self._tie(call, b)))
         holder = max(backends, key=lambda b: (b.cached_tokens, -_load(b)))
         matched = holder.cached_tokens >= MIN_MATCH * max(call.prompt_tokens, 1)
--- a/src/quincespool/policy/program_aware.py
+++ b/src/quincespool/policy/program_aware.py
@@ -4,7 +4,7 @@
 those that have had little, within a limit (see `ProgramAware.rank`).
 
 Placement: the backend server on which the call is expected to end first, where the cost of
-computing prefixes again is weighted as the class entry says (see `ProgramAware.choose`).
+computing prefixes again is weighted as set in the class entry (see `ProgramAware.choose`).
 
 Admission: new programs are refused while waiting in the queues would take too much of their time,
 or while the prefixes of the live programs fill the caches. A program in progress is never shed.
@@ -36,7 +36,7 @@
 """A new program with more time left than this gets none of `Tuning.urgent_extra_fill`."""
 
 CACHE_TURNOVER_MS = 60_000
-"""First guess of how long it takes until a full cache's live programs have all been replaced."""
+"""Initial estimate of the time until all live programs of a full cache have been replaced."""
 
 MIN_RETRY_MS = 1000
 
@@ -45,12 +45,12 @@
     """The policy's constants.
 
     Attributes:
-      attained_share: Part of the service that a program has had by which its rank is delayed.
-      attained_cap_ms: Upper limit of that delay, so that no program starves.
-      priority_ms: Delay of the rank for each step of the class entry's priority.
-      queue_share: Share of a queue that a call of a program in progress still waits for.
-      recompute_factor: Multiple of its own cost that computing a prefix again counts, since it
-        delays other calls, too.
+      attained_share: Share of a program's attained service that is added to its rank.
+      attained_cap_ms: Upper limit of that addition, so that no program starves.
+      priority_ms: Time added to the rank for each step of the class entry's priority.
+      queue_share: Share of the queued calls that run before a call of a program in progress.
+      recompute_factor: Factor on the cost of computing a prefix again, since this delays other
+        calls, too.
       eviction_weight: Weight of the cache that a new prefix evicts from a full backend server.
       admit_share: Share of its remaining time that a new program may spend in the queue.
       max_fill: Share of all cache that live programs may fill before new ones have to wait.
@@ -69,7 +69,7 @@
 
 
 class ProgramAware:
-    """Implements the policy that the module describes.
+    """Implements the policy described in the docstring of the module.
 
     Its only state is the estimates of speeds and pauses.
     """
@@ -89,7 +89,7 @@
         self._pauses = PauseEstimator()
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the backend server of the least cost: time to the end plus recomputing cost."""
+        """Returns the server of the least cost: time to the end plus cost of recomputation."""
         costs_ms = self._costs_ms(call, backends)
         limit_ms = min(costs_ms) + NEAR_TIE_MS
         best = [b for b, cost_ms in zip(backends, costs_ms, strict=True) if cost_ms <= limit_ms]
@@ -146,7 +146,7 @@
         self._pauses.observe(tool, pause_ms)
 
     def _excess_fill(self, call: CallView, backends: list[BackendView]) -> float:
-        """Returns by what share of all cache the call would exceed the share that it may fill.
+        """Returns how far the call would exceed the fill allowed for it, as a share of all cache.
 
         When the prefixes of the live programs no longer fit, each call evicts the prefix of a
         program that will need it again; the symptom is busy engines while few programs end. New
@@ -209,7 +209,7 @@
     def _break_tie(
         self, call: CallView, best: list[BackendView], backends: list[BackendView]
     ) -> BackendView:
-        """Returns one in the zone with the least live work, to limit the loss if a zone fails."""
+        """Returns a server in the zone of least live work, to limit the loss if a zone fails."""
         zone_tokens: dict[str, int] = {}
         for backend in backends:
             tokens = backend.live_tokens or backend.waiting_tokens
--- a/src/quincespool/policy/program_shapes.py
+++ b/src/quincespool/policy/program_shapes.py
@@ -18,11 +18,11 @@
 # A program that has made no call for this long has ended: longer than a turn on a full engine and
 # the pause of a tool after it.
 IDLE_MS = 2_000
-# Weight of the newest program in the typical shape of its kind: about the last ten count.
+# Weight of the newest program in the typical shape of its kind, which reflects about the last ten.
 NEWEST_WEIGHT = 0.1
-# Programs that are tracked; the one whose last call is the oldest is evicted first.
+# Maximum number of tracked programs; the one whose last call is the oldest is evicted first.
 MAX_PROGRAMS = 4_096
-# Kinds of programs whose typical shape is stored.
+# Maximum number of kinds of programs whose typical shape is stored.
 MAX_KINDS = 64
 
 
@@ -74,8 +74,8 @@
         """
         self._first_guess = first_guess
         self._programs: dict[str, _Running] = {}
-        # Number of programs by kind and calls made: there are few kinds and lengths, and many
-        # programs.
+        # Number of programs by kind and calls made. Programs are counted, not listed, since there
+        # are few kinds and lengths, and many programs.
         self._counts: Counter[Progress] = Counter()
         self._typical: dict[ProgramKind, Shape] = {}
 
@@ -100,7 +100,7 @@
     def in_progress(self, now_ms: int) -> Iterator[tuple[Progress, int]]:
         """Yields the number of programs in progress by kind and calls made.
 
-        Learns from those that have ended.
+        First learns from the programs that have ended.
         """
         self.learn(now_ms)
         yield from self._counts.items()
--- a/src/quincespool/policy/protocol.py
+++ b/src/quincespool/policy/protocol.py
@@ -56,7 +56,7 @@
       program_age_ms: Time since the root program opened.
       deadline_left_ms: Time until the root program's deadline.
       priority: Priority of the class entry, from 0 (first) to 9.
-      sub_agent: Whether the program is a sub-agent, for which a parent waits.
+      sub_agent: Whether the program is a sub-agent, for which a parent program waits.
       exported_tokens: Tokens of its prefix that have been exported and that any engine can import.
     """
 
@@ -119,7 +119,7 @@
 
 
 class Policy(Protocol):
-    """Chooses backend servers and the order of calls at each; no guarantee depends on it."""
+    """Chooses backend servers and the order of calls at each; no guarantee depends on a policy."""
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
         """Returns the name of one of `backends`, which is not empty."""
@@ -129,7 +129,7 @@
 
         With `now_ms` the rank is a point in time, so that waiting calls move ahead of those that
         arrive later; without it, ranks are comparable only among calls that arrive close together.
-        `backend` is the chosen one.
+        `backend` is the one that `choose` returned.
         """
 
     def admit(self, call: CallView, backends: list[BackendView]) -> Admission:
--- a/src/quincespool/policy/recent_reports.py
+++ b/src/quincespool/policy/recent_reports.py
@@ -1,8 +1,8 @@
-"""The recent reports of all daemons on backend servers, and whether one more needs to be sent.
+"""The recent reports of all daemons on backend servers, and whether another report is needed.
 
-A daemon stops sending reports as soon as the others have enough of them: their number does not grow
-with the calls, and the traffic grows with the number of daemons only because each report goes to
-all of them.
+A daemon stops sending reports as soon as the other daemons have enough: the number of reports does
+not grow with the calls, and the traffic grows with the number of daemons only because each report
+goes to all of them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 # each second, short enough that chance failures don't add up.
 WINDOW_MS = 1_500
 # Reports of one daemon on one backend server that count within the window, so that at least two
-# daemons must agree: one that is cut off from the network reports failures of all backend servers.
+# daemons must agree: a daemon that is cut off from the network reports failures of all backend
+# servers.
 MAX_REPORTS_PER_DAEMON = 2
 # Number of reports in a window after which no daemon sends more. It limits the cost of receiving
 # them to a third of a percent of a core at 100 us each, and leaves room for ten outliers at once.
--- a/src/quincespool/policy/registry.py
+++ b/src/quincespool/policy/registry.py
@@ -1,4 +1,4 @@
-"""Makes policies by the names that a class entry of the catalogue may use."""
+"""Creates policies by the names that a class entry of the catalogue may use."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 ) -> Policy:
     """Returns a new instance of the policy called `name`.
 
-    The weights matter to `program_aware` alone; `seed` sets where round robin starts and how ties
+    Only `program_aware` uses the weights; `seed` sets where round robin starts and how ties
     are broken, so that daemons with different seeds do not all prefer the same backend server.
 
     Raises:
-      UnknownPolicyError: if there is no such policy.
+      UnknownPolicyError: if no policy is called `name`.
       ValueError: if a weight is negative or both are zero.
     """
     if latency_weight < 0 or cache_weight < 0 or latency_weight + cache_weight == 0:
--- a/src/quincespool/policy/round_robin.py
+++ b/src/quincespool/policy/round_robin.py
@@ -19,7 +19,7 @@
         self._position = seed
 
     def choose(self, call: CallView, backends: list[BackendView], *, now_ms: int) -> str:
-        """Returns the next one; a list that shrinks or grows only shifts the position."""
+        """Returns the next server; a list that shrinks or grows only shifts the position."""
         self._position += 1
         return backends[self._position % len(backends)].name
 
--- a/src/quincespool/policy/service_times.py
+++ b/src/quincespool/policy/service_times.py
@@ -12,17 +12,17 @@
 from quincespool.policy.answer_times import AnswerTimes
 
 # An answer is overdue this many deviations beyond the mean. Calls whose work differs by a factor of
-# four stay below.
+# four do not exceed this limit.
 OVERDUE_DEVIATIONS = 8
 # With fewer answers of a service its usual time is too uncertain to call an answer overdue.
 MIN_SAMPLES = 8
-# No answer is overdue earlier: pauses of the event loop and of the network reach some tens of
-# milliseconds.
+# No answer is overdue before this time: pauses of the event loop and of the network reach some tens
+# of milliseconds.
 MIN_OVERDUE_MS = 100.0
-# Weight of the newest answer of a backend server: about the last five count.
+# Weight of the newest answer in the mean of its backend server, which reflects about the last five.
 NEWEST_WEIGHT = 0.2
-# The measured latency of a backend server counts half after this long. Otherwise one that was slow
-# once would get no call that could show that it has recovered; bursts last some seconds.
+# Time in which the weight of a backend server's measured latency halves. Otherwise a server that
+# was slow once would get no call that could show that it has recovered; bursts last some seconds.
 HALF_LIFE_MS = 4_000
 
 
@@ -54,7 +54,7 @@
         return times.mean_ms if times is not None else 0.0
 
     def overdue_ms(self, service: str) -> float | None:
-        """Returns after how long a missing first byte is overdue; None if it is not known yet."""
+        """Returns after how many ms a first byte is overdue; None before `MIN_SAMPLES` answers."""
         if self._samples.get(service, 0) < MIN_SAMPLES:
             return None
         times = self._first_bytes[service]
@@ -88,7 +88,7 @@
         self._latencies[backend_id] = _Latency(mean_ms, now_ms)
 
     def mean_ms(self, backend_id: str) -> float:
-        """Returns the moving average; 0 before the first answer."""
+        """Returns the moving average of the time to the first byte; 0 before the first answer."""
         known = self._latencies.get(backend_id)
         return known.mean_ms if known is not None else 0.0
 
--- a/src/quincespool/policy/silence.py
+++ b/src/quincespool/policy/silence.py
@@ -4,7 +4,7 @@
 nobody closes their connections, and their leases remain valid until they expire. If a host that
 merely stalls is declared failed too early, it loses its work; if a failed one is detected too late,
 its programs miss their objective, which leaves most of them about a second. A silent peer is
-therefore probed before it is declared failed: one that runs answers within milliseconds.
+therefore probed before it is declared failed: a running peer answers within milliseconds.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Time between two heartbeats, which take 7 KB/s of a host in the largest planned cluster; with a
-# shorter one they would take more.
+# Time between two heartbeats. Heartbeats use 7 KB/s of a host's bandwidth in the largest planned
+# cluster; with a shorter interval they would use more.
 HEARTBEAT_INTERVAL_MS = 200
 # A peer is probed after two missed heartbeats, since a single one is lost now and then.
 PROBE_AFTER_MS = 500
@@ -24,7 +24,7 @@
 # within the tenth of a second that a quota period lasts.
 PROBE_TIMEOUT_MS = 150
 # Silence after which a peer is declared failed, counted from its last heartbeat. A host's lease is
-# one second; programs of a failed host would otherwise wait 0.83 s on average for its end.
+# one second; programs of a failed host would otherwise wait 0.83 s on average until it expires.
 PEER_TIMEOUT_MS = PROBE_AFTER_MS + PROBE_TIMEOUT_MS + 50
 
 
@@ -33,7 +33,7 @@
 
     Attributes:
       to_probe: Peers to be probed now.
-      failed: Peers that are declared failed now; each one is listed once for each silence.
+      failed: Peers that are declared failed now; a peer is listed only once per silence.
     """
 
     to_probe: list[str]
@@ -41,7 +41,7 @@
 
 
 class FailureDetector:
-    """Declares peers failed that neither send heartbeats nor answer a probe."""
+    """Declares a peer failed if it neither sends heartbeats nor answers a probe."""
 
     def __init__(self) -> None:
         self._probed_ms: dict[str, int] = {}
@@ -54,7 +54,8 @@
         first, it reads the messages that arrived meanwhile before it declares anyone failed.
 
         Args:
-          received_ms: When the last message of each watched peer was received, by the same clock.
+          received_ms: When the last message of each watched peer was received, by the clock of
+            `now_ms`.
           now_ms: Steady clock.
         """
         found = PeerCheck([], [])
@@ -77,13 +78,14 @@
         return found
 
     def next_check_in_ms(self, received_ms: Mapping[str, int], now_ms: int) -> int:
-        """Returns for how long `check` returns nothing if no message arrives; not negative.
+        """Returns for how many ms `check` finds no peer if no message arrives; not negative.
 
         This saves wake-ups on idle hosts: checks at a fixed interval would cause more of them than
         all callers do.
 
         Args:
-          received_ms: When the last message of each watched peer was received, by the same clock.
+          received_ms: When the last message of each watched peer was received, by the clock of
+            `now_ms`.
           now_ms: Steady clock.
         """
         last_ms = [at_ms for peer, at_ms in received_ms.items() if peer not in self._failed]
@@ -92,7 +94,7 @@
 
 # A backend server is suspected after a silence of BACKEND_SILENCE_MS plus BACKEND_SILENCE_LATENCIES
 # times its latency. Events of a stream come every few tens of milliseconds, and the streams of an
-# engine don't all pause at once; a complete answer takes about as long as the last ones.
+# engine don't all pause at once; a complete answer takes about as long as the previous ones.
 BACKEND_SILENCE_MS = 250
 BACKEND_SILENCE_LATENCIES = 3
 
@@ -100,7 +102,7 @@
 def is_silent_too_long(silent_ms: float, latency_ms: float) -> bool:
     """Whether a backend server with calls in flight has been silent so long that it may be down.
 
-    Detects engines that lose power: their connections stay open, and callers give up a stream only
+    Detects engines that lose power: their connections stay open, and callers cancel a stream only
     after two seconds without an event, longer than most programs can spare. A new connection shows
     whether the host is up, so a wrong suspicion costs no more than that connection.
 
--- a/src/quincespool/policy/urgency.py
+++ b/src/quincespool/policy/urgency.py
@@ -18,9 +18,9 @@
     """Importance that operators assign; lower values are served first.
 
     Attributes:
-      primary: Rank of the account, or of the route if the account has none.
+      primary: Rank of the account, or of the route if the account has no rank.
       secondary: Rank of the route, which orders calls of accounts of the same rank; 0 if the
-        account has none.
+        account has no rank.
     """
 
     primary: int = 0
@@ -31,7 +31,7 @@
     """Returns the rank of an account's calls on a route.
 
     Args:
-      account_rank: Rank of the account; None if it has none.
+      account_rank: Rank of the account; None if the account has no rank.
       route_rank: Rank of the route.
     """
     return Rank(route_rank) if account_rank is None else Rank(account_rank, route_rank)
@@ -41,7 +41,7 @@
     """Returns the priority of a turn.
 
     Args:
-      rank: Its importance, which counts before the time left to the program.
+      rank: Importance of the turn, which has precedence over the time left to the program.
       program_left_ms: Time until the program should be finished; None if its caller did not say.
     """
     is_late = program_left_ms is not None and program_left_ms <= 0
--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,3 +1,3 @@
-"""policy of quincespool."""
+"""Tests of the scheduling policies."""
 
 from __future__ import annotations
--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -17,8 +17,8 @@
     from collections.abc import Callable
 
 SERVICE = "model"
-# A call takes a quarter of a second on average, and its answer begins after a sixth of that, if it
-# need not wait.
+# A call that need not wait takes a quarter of a second on average, and its answer begins after a
+# sixth of that.
 BEGIN_MS = 40.0
 MEAN_MS = 251.0
 
@@ -28,7 +28,7 @@
 
     Attributes:
       reported_every_ms: Interval at which daemons report their calls in flight to one another; 0 if
-        they don't.
+        they do not report them.
       slow: Engines that are slower by `slowness`.
     """
 
@@ -60,7 +60,7 @@
 
 
 class Fleet:
-    """One run; the same seed and load make the same calls."""
+    """One run; runs with the same seed and load send the same calls."""
 
     def __init__(self, load: Load, seed: int) -> None:
         self._load = load
--- a/tests/policy/program_fleet.py
+++ b/tests/policy/program_fleet.py
@@ -36,7 +36,7 @@
 # Programs like the short ones, of an account that sends many times its usual load.
 HOT = ProgramKind("hot", Rank(0))
 TURNS = {SHORT: 3, LONG: 8, HOT: 3}
-# The time that a program has: FACTOR times its duration on idle engines plus EXTRA_MS.
+# Time limit of a program: FACTOR times its duration on idle engines plus EXTRA_MS.
 FACTOR = {SHORT: 1.4, LONG: 1.6, HOT: 1.4}
 EXTRA_MS = {SHORT: 250, LONG: 500, HOT: 250}
 
@@ -74,7 +74,7 @@
 
 
 class ProgramFleet:
-    """One run; the same seed and load make the same programs."""
+    """One run; runs with the same seed and load start the same programs."""
 
     def __init__(
         self,
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -113,7 +113,7 @@
 
 
 def test_a_program_that_is_late_anyway_begins_where_engines_are_idle() -> None:
-    """After an outage programs arrive past their deadline; all were refused for tiny waits."""
+    """Symptom: after an outage all programs, late on arrival, are refused for tiny waits."""
     control = _control_with_wait(MIN_WAIT_MS - 1)
     assert control.reject(_new_program(left_ms=0), 0) is None
     assert _control_with_wait(2 * MIN_WAIT_MS).reject(_new_program(left_ms=0), 0) is not None
@@ -127,7 +127,7 @@
 
 
 def test_the_least_latency_is_forgotten_after_some_time() -> None:
-    """Engines that all become slower for good would look like full ones."""
+    """If all engines became permanently slower, they would look like full ones."""
     control = AdmissionControl()
     control.record_first_event("s", Rank(0), 30.0, 0)
     for period in range(1, 4):
@@ -152,7 +152,10 @@
 
 
 def test_an_account_far_above_its_usual_load_does_not_displace_the_others() -> None:
-    """One account gets nine tenths of the engines' slots, and others are refused as often as it."""
+    """Symptom: one account gets nine tenths of the engines' slots.
+
+    Programs of other accounts are refused as often as its programs.
+    """
     load = {SHORT: 35.0, HOT: 260.0}
     equal, fair = (
         [
--- a/tests/policy/test_engine_speeds.py
+++ b/tests/policy/test_engine_speeds.py
@@ -1,4 +1,4 @@
-"""What is learned about engines that differ in speed."""
+"""How engines that differ in speed are recognized."""
 
 from __future__ import annotations
 
@@ -53,7 +53,10 @@
 
 
 def test_received_reports_do_not_shift_the_usual_time() -> None:
-    """Only engines that differ are reported: many reports would make a slow one look usual."""
+    """Hosts report only engines that differ in speed from the usual one.
+
+    If the reports changed the usual time, many of them would make a slow engine look usual.
+    """
     speeds = _learned({"a": 20.0, "b": 20.0}, 50, spread=0.02)
     for _ in range(1_000):
         speeds.add_sample(SpeedSample("slow", 40.0))
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -110,7 +110,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.integers(0, 900)), max_size=80))
 def test_at_most_half_of_a_service_is_ejected(steps: list[tuple[int, int, int]]) -> None:
-    """Whichever reports arrive: an outlier has far more of them than the median of the others."""
+    """Whatever reports arrive, an outlier has far more than the median of the other servers."""
     shared, group, now_ms = SharedFailures(), GROUP[:6], 0
     for number, reporter, gap_ms in steps:
         now_ms += gap_ms
@@ -123,7 +123,7 @@
 
     CALLS_PER_S = 200
     FAULT_MS = 5_500
-    # Time until a call at the engine without power is detected to be lost.
+    # Time until the loss of a call at the engine without power is detected.
     DETECT_MS = 500
 
     def __init__(self, daemons: int, *, shared: bool) -> None:
@@ -162,7 +162,8 @@
     """Symptom: with hundreds of hosts answers stall for seconds whenever an engine fails.
 
     Events: one of 24 engines loses power under 200 turns a second; its entry remains for 5.5 s.
-    Cause: each of 32 owners had to lose turns of its own there, again after each ejection.
+    Cause: each of 32 owners ejected the engine only after it had lost turns of its own there, and
+    lost more after each ejection.
     """
     lost = _lost_by_size(shared=True)
     alone = _lost_by_size(shared=False)
--- a/tests/policy/test_pending_assignments.py
+++ b/tests/policy/test_pending_assignments.py
@@ -41,8 +41,9 @@
     """Symptom: after a power failure the first turn is served a second after the first start.
 
     Events: eleven daemons start within 200 ms; the first one is assigned all partitions, then half
-    of them, and so on, and begins to read each time.
-    Cause: assigned partitions were taken over at once; all reads pending the store's bandwidth.
+    of them, and so on, and begins to read them each time.
+    Cause: assigned partitions were taken over at once; all reads shared
+    the bandwidth of the store.
     """
     rng = random.Random(1)
     for _ in range(50):
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -13,7 +13,7 @@
 from tests.policy.fleet import Load
 
 SEEDS = (1, 2, 3)
-# Of 576 calls a second that 24 engines with six slots each can run.
+# Calls a second; 24 engines with six slots each can run 576.
 BUSY_PER_S = 460.0
 
 
@@ -48,7 +48,10 @@
 
 
 def test_a_few_hosts_need_not_report_their_loads_either() -> None:
-    """Ten owners use six engines of twelve slots; few hosts can report their loads each 200 ms."""
+    """Ten owners use six engines of twelve slots.
+
+    So few hosts can report their loads to one another every 200 ms.
+    """
     load = Load(220.0, owners=10, engines=6, slots=12, zones=4)
     assert _mean_ms(load) < _mean_ms(load._replace(reported_every_ms=200))
 
--- a/tests/policy/test_polling.py
+++ b/tests/policy/test_polling.py
@@ -1,4 +1,4 @@
-"""How often entries are read."""
+"""How often daemons read the shared entries from the store."""
 
 from __future__ import annotations
 
@@ -41,7 +41,8 @@
 def test_a_start_of_all_hosts_does_not_overload_the_store() -> None:
     """Symptom: with 195 hosts the store rejects requests when all restart after a power failure.
 
-    Events: all hosts start within a second, and each adds its entry, for which all others wait.
+    Events: all hosts start within a second, and each adds its entry; the reads of
+    all other hosts wait for new entries.
     Cause: each new entry triggered a read by every host.
     """
     assert 195 * _reads_at_a_start(195, pauses=False) > 16_000
--- a/tests/policy/test_silence.py
+++ b/tests/policy/test_silence.py
@@ -21,7 +21,7 @@
 
 
 def _failed_after_ms(crashed_ms: int) -> int:
-    """Returns how long after its crash a peer is declared failed; it sends heartbeats from 0 on."""
+    """Returns how long after its crash a peer is declared failed; heartbeats begin at time 0."""
     detector = FailureDetector()
     received_ms = crashed_ms - crashed_ms % HEARTBEAT_INTERVAL_MS
     now_ms = crashed_ms
@@ -46,7 +46,7 @@
 def test_no_peer_is_declared_failed_without_a_probe() -> None:
     """Symptom: a daemon that was stopped for a second ends the leases of all its peers.
 
-    Events: it runs again; every peer's last heartbeat is old, and newer ones wait in its socket.
+    Events: it resumes; every peer's last heartbeat is old, and newer ones wait in its socket.
     Cause: peers were declared failed by the clock alone, without a probe.
     """
     detector = FailureDetector()
@@ -88,7 +88,7 @@
 
 @given(received_ms=st.lists(st.integers(0, 2_000), min_size=1, max_size=4))
 def test_no_silence_is_missed_between_two_due_checks(received_ms: list[int]) -> None:
-    """A host that checks only when a check is due finds the same as one that always checks."""
+    """A host that checks only when a check is due finds the same peers as one that always does."""
     received = {str(number): at_ms for number, at_ms in enumerate(received_ms)}
     now_ms = max(received_ms)
     detector = FailureDetector()
--- a/tests/policy/test_urgency.py
+++ b/tests/policy/test_urgency.py
@@ -22,10 +22,10 @@
 
 
 def test_late_programs_do_not_make_others_late() -> None:
-    """Symptom: after a burst programs are late one after the other, long after it is over.
+    """Symptom: one program after the other is late until long after the end of a burst.
 
     Events: a batch of six runs 20 turns a second; a burst leaves sixty programs that are late and
-    continue; then others begin at 14 a second, each turn of which has 1.5 s.
+    continue; then others begin at 14 a second, and each of their turns has a limit of 1.5 s.
     Cause: engines ran turns in order of arrival, the late ones first.
     """
     assert _late_share(by_urgency=True) < 0.05
