--- a/src/quincespool/policy/admission.py
+++ b/src/quincespool/policy/admission.py
@@ -25,8 +25,8 @@
 # for its run time on idle engines, and for the growth of the waits until the programs that begin
 # now have ended.
 WAIT_SHARE = 0.5
-# This share for programs whose service also runs more urgent ones, so that the less urgent ones are
-# refused first.
+# Value of `WAIT_SHARE` for programs whose service also runs more urgent ones, so that the less
+# urgent ones are refused first.
 LESS_URGENT_WAIT_SHARE = 0.35
 # Factor by which either share is multiplied for programs of an account that sends more than its
 # usual load: engines are full of its turns, and while its new programs wait, programs of other
--- a/src/quincespool/policy/protocol.py
+++ b/src/quincespool/policy/protocol.py
@@ -11,6 +11,8 @@
 class BackendView(NamedTuple):
     """One backend server as the owner of a program sees it.
 
+    The keeper of a backend server is the daemon that queues its calls and sends them to it.
+
     Attributes:
       name: Name without the prefix `backend/`.
       zone: Availability zone.
