--- a/src/quincespool/gateway/turns/partition.py
+++ b/src/quincespool/gateway/turns/partition.py
@@ -47,8 +47,7 @@
 # when any other request shows that the store is reachable again.
 FIRST_RETRY_S = 0.05
 MAX_RETRY_S = 0.4
-# Pause before a partition is given up whose records could not be read because of a fault: the next
-# attempt to read it probably fails in the same way.
+# Pause before giving up a partition after a fault in reading it: the next read probably fails too.
 FAULT_PAUSE_S = 1.0
 # Maximum size of one append, well below the platform's limit of two megabytes per call.
 MAX_BATCH_BYTES = 1_000_000
@@ -143,8 +142,7 @@
 
         Args:
           record: Record to append; the ledger includes it from now on.
-          urgent: Whether to append it at once. A record that is not urgent is appended together
-            with the next urgent one, so that both need only one request to the store.
+          urgent: Whether to append it at once, else in one request with the next urgent record.
         """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         # If nobody awaits the future any more, asyncio must not report an unretrieved exception.
@@ -155,10 +153,9 @@
             self._unconfirmed.append(waiting)
             future.set_exception(LostPartitionError())
             return future
-        # The record is applied before it is durable: two turns that arrive at the same moment must
-        # not both get budget that is left for only one. Later records follow this one in the log,
-        # so a daemon that reads them arrives at the same state; if this record is never appended,
-        # the later ones are not appended either.
+        # Applied before it is durable: two turns that arrive at the same moment must not both get
+        # budget that is left for only one. Later records follow this one in the log, so a daemon
+        # that reads them arrives at the same state; if this one is never appended, nor are they.
         self.ledger.apply(record)
         self._waiting.append(waiting)
         if urgent:
@@ -183,8 +180,7 @@
         """
         self._check_ownership()
         await self._confirmation.run()
-        # The store confirms the epoch until another daemon takes over, even if this daemon has lost
-        # the partition meanwhile.
+        # The store confirms the epoch until a takeover, even if this daemon has lost the partition.
         self._check_ownership()
 
     def _check_ownership(self) -> None:
@@ -225,9 +221,8 @@
           StoreError: if the store does not answer.
         """
         # The store does not fence trim requests. A fenced owner may consider programs expired that
-        # continue at the next owner, so ownership is confirmed first. Records that were not needed
-        # before the confirmation are not needed later, unless a program is continued after its
-        # retention.
+        # continue at the next owner, so ownership is confirmed first. Records not needed before
+        # that are not needed later, unless a program is continued after its retention.
         await self.confirm()
         await self._store.trim(self.partition, before)
         self._extent.drop_before(before)
@@ -308,8 +303,7 @@
             # store has lost its state of the writer. A new takeover reads the stored records.
             self.mark_lost(f"sequence {error.expected} expected, {self._sequence} sent")
         except Exception as error:
-            # Without this task no more records are appended. The next takeover, by this daemon or
-            # another one, starts again from the stored records.
+            # Appends end with this task. A takeover by any daemon starts from the stored records.
             report_exception("partition failed", error)
             if not self.ready:
                 await asyncio.sleep(FAULT_PAUSE_S)
--- a/src/quincespool/gateway/turns/relay.py
+++ b/src/quincespool/gateway/turns/relay.py
@@ -62,8 +62,7 @@
 # The same retry time as for a turn whose owner can't write to the store: until the store is
 # reachable again, it assigns the partition to no other daemon.
 STORE_UNREACHABLE_RETRY_MS = 1_300
-# How long after the time limit of a turn its owner's answer is still awaited. The owner answers by
-# the time limit, so an answer that has not arrived by then is not expected any more.
+# Time after a turn's time limit for its owner's answer to arrive: the owner answers by the limit.
 ANSWER_GRACE_MS = 120
 NOT_OWNER = "not_owner"
 
@@ -205,8 +204,7 @@
         Args:
           partition: The partition of the record.
           record: The record of a turn that an earlier owner ran.
-          budget_tokens: Token budget of the turn's program; None if the start of the turn must not
-            be refused for lack of budget.
+          budget_tokens: Token budget of the program, None if it must not refuse the turn's start.
           left_ms: Time limit in milliseconds.
         """
         until_ms = now_ms() + left_ms
@@ -245,8 +243,7 @@
     def on_link_lost(self, link: Link) -> None:
         """Ends the turns in progress on a broken link.
 
-        Turns that run here for the other daemon are cancelled. Turns that were relayed to it end
-        with the verdict that they may have run.
+        Turns run here for the other daemon are cancelled; turns relayed to it get `may_have_run`.
         """
         serving = [task for (one, _), task in self._relayed_tasks.items() if one is link]
         waiting = [one for one in self._pending.values() if one.link is link]
@@ -263,10 +260,7 @@
     async def _relay_to_owner(
         self, owner: Daemon, call: Call, parameters: TurnParameters, reply: Reply, until_ms: int
     ) -> Refusal | None:
-        """Relays a turn to its owner; returns None if it was answered, else the refusal.
-
-        The refusal has the reason `NOT_OWNER` if the turn was not accepted there.
-        """
+        """Relays a turn; returns None if answered, else a refusal, `NOT_OWNER` if not accepted."""
         link = await self._links.get(owner.peer_address)
         if link is None:
             self._members.suspect(owner.member_id)
@@ -300,8 +294,7 @@
         try:
             self._forward_answer(pending, message)
         except Exception as error:
-            # The handler of the caller's request raises the error. If it were raised here, it would
-            # close the link and end every other turn on it.
+            # Raised in the call's handler: here it would close the link and end its other turns.
             pending.done.set_exception(error)
 
     def _forward_answer(
@@ -346,8 +339,7 @@
     ) -> None:
         """Runs a turn for another daemon.
 
-        A fault is answered with a refusal, as the other daemon would otherwise wait for the turn
-        until its time limit.
+        A fault is answered with a refusal, or the other daemon would wait until the time limit.
         """
         try:
             await self._turns.run(call, parameters, owned, reply, until_ms=until_ms)
@@ -380,8 +372,7 @@
         try:
             record = decode_record(message.record)
         except msgspec.DecodeError:
-            # The sender runs a version with other record types. It stops retrying when its time
-            # limit is over.
+            # The sender's version has other record types. It retries until its time limit is over.
             owned = None
         if owned is not None:
             budget_tokens = read_optional(message.budget_tokens)
--- a/tests/gateway/turns/partition_walk.py
+++ b/tests/gateway/turns/partition_walk.py
@@ -52,10 +52,7 @@
 class Faults(NamedTuple):
     """Shares of the requests to the store that fail.
 
-    Attributes:
-      refused: Answered with a refusal and not applied.
-      lost: Applied at once, without an answer.
-      delayed: Applied at some later time, without an answer.
+    Refused ones are not applied; lost ones are applied at once and delayed ones later, unanswered.
     """
 
     refused: float = 0.05
@@ -190,14 +187,11 @@
         issues_unrecorded: bool = False,
         hedges: bool = False,
     ) -> None:
-        """Prepares a walk.
-
-        Args:
-          seed: Seed of all random choices.
-          faults: Faults of the store.
-          issues_unrecorded: Whether owners issue tokens while the store is unreachable. A budget
-            may then be exceeded by one turn, as the next owner may never learn of these tokens.
-          hedges: Whether requests are hedged, so that copies of a request race one another.
+        """Prepares a walk; the seed determines all random choices.
+
+        If `issues_unrecorded`, owners issue tokens while the store is unreachable. A budget may
+        then be exceeded by one turn, as the next owner may never learn of these tokens. If
+        `hedges`, requests are hedged, so that copies of a request race one another.
         """
         self._issues_unrecorded = issues_unrecorded
         self._bound_tokens = BUDGET_TOKENS + (MAX_TOKENS if issues_unrecorded else 0)
@@ -221,11 +215,7 @@
         self._texts: dict[str, dict[str, bytes]] = {}
 
     async def run(self, steps: int) -> None:
-        """Takes a number of steps.
-
-        Raises:
-          AssertionError: if a guarantee to callers is violated.
-        """
+        """Takes a number of steps; raises AssertionError if a guarantee to callers is violated."""
         self._hedged = HedgedRequests(on_hedge=lambda: None) if self._hedges else _SingleCalls()
         while self.steps < steps:
             self.steps += 1
@@ -328,8 +318,7 @@
             return
         text = turn.encode()
         ended = TurnEnded(turn, program, previous, text, b"!", tokens, RETENTION_MS, 0)
-        # Submitted in this order, so that the end releases the tokens that the start has
-        # reserved.
+        # In this order, so that the end releases the tokens that the start has reserved.
         ended_durable = owned.submit(ended)
         if start_durable is not None and not await self._await_durable(
             start_durable, start, has_output=True
