--- a/scripts/rename.py
+++ b/scripts/rename.py
@@ -24,6 +24,10 @@
 import sys
 import tokenize
 from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 FOLDERS = ("src", "tests", "specs", "scripts")
 MOST_ROUNDS = 30
@@ -114,9 +118,9 @@
     file.write_text(text)
 
 
-def _run_mypy(*command: str) -> list[str]:
+def _run_mypy() -> list[str]:
     done = subprocess.run(
-        [*command, "--show-error-end", "--no-pretty"],
+        [".venv/bin/mypy", "--show-error-end", "--no-pretty"],
         capture_output=True,
         text=True,
         check=False,
@@ -146,41 +150,6 @@
     return changed
 
 
-def _follow_mypy(old: str, new: str, owners: tuple[str, ...] = ()) -> None:
-    """Renames the uses that mypy finds missing, until it finds no more.
-
-    Args:
-      old: The name that is gone.
-      new: The name to put in its place.
-      owners: Classes or functions that the name belonged to; all if empty.
-    """
-    word = re.escape(old)
-    place = r"(?P<file>[^:]+):(?P<line>\d+):\d+:(?P<end_line>\d+):(?P<end>\d+): error: "
-    owner = "|".join(map(re.escape, owners)) if owners else r"\w+"
-    missing = re.compile(rf'{place}.*"(?:type\[)?(?:{owner})\W.*has no attribute "{word}"')
-    unexpected = re.compile(
-        rf'{place}Unexpected keyword argument "{word}" for .*"(?:{owner})(?:\W|$)'
-    )
-    found: list[str] = []
-    for _ in range(MOST_ROUNDS):
-        found = _run_mypy(".venv/bin/dmypy", "run", "--")
-        changed = 0
-        # From the end of each line, so that the columns of earlier places stay right.
-        attributes = {
-            (m["file"], int(m["end_line"]), int(m["end"])) for m in map(missing.match, found) if m
-        }
-        for name, row, end in sorted(attributes, reverse=True):
-            changed += _replace_at(Path(name), row, end, old, new)
-        if not changed:
-            for m in filter(None, map(unexpected.match, found)):
-                row, end_row = int(m["line"]), int(m["end_line"])
-                changed += _replace_keyword(Path(m["file"]), row, end_row, old, new)
-        if not changed:
-            break
-    errors = [line for line in found if ": error:" in line]
-    print("\n".join(errors[:20]) or "mypy: no errors")
-
-
 def _rename_module(old: str, new: str) -> None:
     base = Path("src") if old.startswith("quincespool") else Path()
     source, target = (base / (name.replace(".", "/") + ".py") for name in (old, new))
@@ -225,14 +194,19 @@
             for _ in range(3):
                 owners |= {after for owner in owners for after in classes.get(owner, ())}
             wanted |= {(owner, old): new for owner in owners}
-    _replace_found(wanted)
+    _rename_uses(
+        lambda owners, name: next(
+            (wanted[owner, name] for owner in owners if (owner, name) in wanted), ""
+        )
+    )
 
 
-def _replace_found(wanted: dict[tuple[str, str], str]) -> None:
+def _rename_uses(find_new: Callable[[list[str], str], str]) -> None:
     """Renames what mypy finds missing, until it finds no more.
 
     Args:
-      wanted: New names by class or function and old name.
+      find_new: Returns the new name of an attribute or parameter, given the classes and functions
+        that mypy names beside it and the old name; empty if it is not to be renamed.
     """
     place = r"(?P<file>[^:]+):(?P<line>\d+):\d+:(?P<end_line>\d+):(?P<end>\d+): error: "
     missing = re.compile(rf'{place}(?P<owners>.*) has no attribute "(?P<old>\w+)"')
@@ -241,31 +215,23 @@
     )
     found: list[str] = []
     for _ in range(MOST_ROUNDS):
-        found = _run_mypy(".venv/bin/mypy")
-        edits = []
-        for kind in (missing, unexpected):
-            for m in filter(None, map(kind.match, found)):
-                names = re.findall(r"\w+", m["owners"])
-                new = next(
-                    (wanted[one, m["old"]] for one in names if (one, m["old"]) in wanted), ""
-                )
-                if new:
-                    edits.append((m, kind is missing, new))
+        found = _run_mypy()
+        # A place that is named twice, as for a union, is edited once. From the end of each file, so
+        # that the columns of earlier places stay right.
+        edits = {
+            (m["file"], int(m["end_line"]), int(m["end"]), int(m["line"]), kind is missing): m
+            for kind in (missing, unexpected)
+            for m in filter(None, map(kind.match, found))
+        }
         changed = 0
-        # From the end of each line, so that the columns of earlier places stay right.
-        edits.sort(
-            key=lambda edit: (edit[0]["file"], -int(edit[0]["end_line"]), -int(edit[0]["end"]))
-        )
-        done: set[tuple[str, str, str]] = set()
-        for m, is_attribute, new in edits:
-            path, row, end = Path(m["file"]), int(m["end_line"]), int(m["end"])
-            if (m["file"], m["end_line"], m["end"]) in done:
+        for (name, row, end, first, is_attribute), m in sorted(edits.items(), reverse=True):
+            new = find_new(re.findall(r"\w+", m["owners"]), m["old"])
+            if not new:
                 continue
             if is_attribute:
-                done.add((m["file"], m["end_line"], m["end"]))
-                changed += _replace_at(path, row, end, m["old"], new)
+                changed += _replace_at(Path(name), row, end, m["old"], new)
             else:
-                changed += _replace_keyword(path, int(m["line"]), row, m["old"], new)
+                changed += _replace_keyword(Path(name), first, row, m["old"], new)
         if not changed:
             break
     errors = [line for line in found if ": error:" in line]
@@ -313,7 +279,7 @@
         _rename_param(Path(file), function, old, new)
     else:
         sys.exit(__doc__)
-    _follow_mypy(old, new)
+    _rename_uses(lambda _, name: new if name == old else "")
     if what != "param":
         _left_over(old)
 
